--- a/programs/ridgehold-entry.cc
+++ b/programs/ridgehold-entry.cc
@@ -45,11 +45,11 @@
 }
 
 /// Reloads when the settings file has changed.
-void WatchSettings(Timer& timer, Entry& entry, platform::SettingsFile file) {
+void WatchSettings(Timer& timer, Entry& entry, platform::SettingsFileWatcher file) {
   timer.expires_after(kSettingsLook);
   timer.async_wait([&timer, &entry, file](const ErrorCode& error) mutable {
     if (error) return;
-    if (file.Changed()) Reload(entry, "file changed");
+    if (file.PollForChange()) Reload(entry, "file changed");
     WatchSettings(timer, entry, file);
   });
 }
@@ -83,7 +83,7 @@
   net::signal_set signals(io, SIGTERM, SIGINT, SIGHUP);
   WaitForSignals(signals, io, *entry);
   Timer settings_timer(io);
-  WatchSettings(settings_timer, *entry, platform::SettingsFile());
+  WatchSettings(settings_timer, *entry, platform::SettingsFileWatcher());
   entry->Start();
   io.run();
   return {};
--- a/soak/caller.cc
+++ b/soak/caller.cc
@@ -60,7 +60,7 @@
   message.set(field::kTimeLeftMs, std::to_string(kCallerDeadline.count()));
   message.set(field::kModel, "m");
   message.set(field::kTokenCounts, "900,10");
-  message.set(field::kPromptParts, "a" + std::to_string(random_.Between(1, 9)) + ":500,b2:400");
+  message.set(field::kPrefixHashes, "a" + std::to_string(random_.Between(1, 9)) + ":500,b2:400");
   message.body() = std::string(static_cast<std::size_t>(random_.Between(0, 5'000)), 'p');
   if (const auto content = poison_.Pick()) {
     record.kind = RequestKind::kResumable;
--- a/soak/fault_script.h
+++ b/soak/fault_script.h
@@ -7,12 +7,12 @@
 #include <vector>
 
 #include "calm.h"
+#include "fakes.h"
 #include "fault_proxy.h"
 #include "instance_process.h"
 #include "operator_log.h"
 #include "random.h"
 #include "soak_engine.h"
-#include "standins.h"
 #include "verdict.h"
 
 namespace ridgehold::soak {
@@ -52,7 +52,7 @@
 struct FaultTargets {
   std::vector<std::unique_ptr<Instance>>& instances;
   std::vector<std::unique_ptr<SoakEngine>>& engines;
-  platform::test::StandinStore& store;
+  platform::test::FakeStore& store;
   OperatorLog& operator_log;
   Poison& poison;
   Calm& calm;
--- a/soak/instance_process.cc
+++ b/soak/instance_process.cc
@@ -57,7 +57,7 @@
   ::dup2(log, STDOUT_FILENO);
   ::dup2(log, STDERR_FILENO);
   ::close_range(STDERR_FILENO + 1, ~0U, 0);
-  ::setenv(platform::kSettingsVariable, SettingsPath().c_str(), 1);
+  ::setenv(platform::kSettingsPathVariable, SettingsPath().c_str(), 1);
   ::execl(program_.c_str(), program_.c_str(), "--log-level", "info", nullptr);
   ::_exit(kExecFailed);
 }
--- a/soak/ledger.cc
+++ b/soak/ledger.cc
@@ -18,7 +18,7 @@
 bool IsSuccess(int status) { return status >= 200 && status < 300; }
 
 /// Header fields that an engine must get as the caller sent them.
-constexpr std::array kKeptFields = {field::kModel, field::kTokenCounts, field::kPromptParts};
+constexpr std::array kKeptFields = {field::kModel, field::kTokenCounts, field::kPrefixHashes};
 
 }  // namespace
 
--- a/soak/operator_log.h
+++ b/soak/operator_log.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
+#include "fakes.h"
 #include "random.h"
 #include "sleep.h"
-#include "standins.h"
 
 namespace ridgehold::soak {
 
--- a/soak/soak_engine.cc
+++ b/soak/soak_engine.cc
@@ -136,7 +136,7 @@
   if (!may_run) {
     co_return co_await Reply(socket, http::status::service_unavailable, "", request, true);
   }
-  const std::string weights(request[field::kExpectedWeights]);
+  const std::string weights(request[field::kExpectedWeightsVersion]);
   if (!weights.empty() && weights != std::to_string(weights_)) {
     co_return co_await Reply(socket, http::status::misdirected_request, "", request, true);
   }
@@ -215,9 +215,9 @@
   if (record != nullptr) judges_.needs.Answered(id_, mood_.need, *record);
   std::string fields;
   if (mood_.need.limit) {
-    fields += std::string(field::kRequestLimit) + ": " + std::to_string(*mood_.need.limit) + "\r\n";
+    fields += std::string(field::kServerLimit) + ": " + std::to_string(*mood_.need.limit) + "\r\n";
   }
-  if (mood_.need.leaving) fields += std::string(field::kLeaving) + ": 1\r\n";
+  if (mood_.need.leaving) fields += std::string(field::kServerLeaving) + ": 1\r\n";
   return fields;
 }
 
@@ -248,8 +248,8 @@
                              const std::string& framing) const {
   const std::string id(request[field::kRequestId]);
   return HeadLine(static_cast<http::status>(run.status)) + field::kRequestId + ": " + id + "\r\n" +
-         NeedFields(request) + field::kSignature + ": " + run.signature + "\r\n" + field::kWeights +
-         ": " + std::to_string(weights_) + "\r\n" + framing + "\r\n";
+         NeedFields(request) + field::kSignature + ": " + run.signature + "\r\n" +
+         field::kWeightsVersion + ": " + std::to_string(weights_) + "\r\n" + framing + "\r\n";
 }
 
 net::awaitable<bool> SoakEngine::Write(tcp::socket& socket, std::string bytes) {
--- a/soak/soak_engine.h
+++ b/soak/soak_engine.h
@@ -6,13 +6,13 @@
 #include <string>
 
 #include "calm.h"
+#include "fakes.h"
 #include "fault_proxy.h"
 #include "ledger.h"
 #include "needs.h"
 #include "order_check.h"
 #include "poison.h"
 #include "random.h"
-#include "standins.h"
 
 namespace ridgehold::soak {
 
--- a/soak/soak_run.h
+++ b/soak/soak_run.h
@@ -46,7 +46,7 @@
   boost::asio::io_context io_;
   Verdict verdict_;
   Calm calm_;
-  platform::test::StandinStore store_;
+  platform::test::FakeStore store_;
   OperatorLog operator_;
   Ledger ledger_;
   OrderCheck orders_;
