--- a/libs/control/include/control/backend_control.h
+++ b/libs/control/include/control/backend_control.h
@@ -20,7 +20,7 @@
 namespace ridgehold {
 
 /// What an engine says of itself; some hundred ms old.
-struct EngineReport {
+struct EngineStatus {
   StartStamp started;
   std::map<ModelId, WeightsNumber> weights;
   bool busy = false;               ///< an order is being carried out
@@ -31,30 +31,30 @@
 
 /// What happens to running requests when weights are loaded.
 enum class ReloadMode : std::uint8_t {
-  kFinishRuns,    ///< they end first
-  kBreakRuns,     ///< their streams are reset
-  kContinueRuns,  ///< they go on under the new weights
+  kFinishRequests,    ///< they end first
+  kAbortRequests,     ///< their streams are reset
+  kContinueRequests,  ///< they go on under the new weights
 };
 
 std::string_view NameOf(ReloadMode mode);
 
 /// An order to load weights.
-struct WeightsLoad {
+struct LoadOrder {
   ModelId model;
   WeightsNumber number;
-  ReloadMode mode = ReloadMode::kFinishRuns;
+  ReloadMode mode = ReloadMode::kFinishRequests;
   DaemonId holder;
-  std::uint64_t fencing = 0;
+  std::uint64_t fencing_token = 0;
   std::uint64_t expected_orders_taken = 0;  ///< the order is void after any other
 };
 
 /// How an order was received.
 enum class OrderOutcome : std::uint8_t {
   kStarted,
-  kAlreadyHolds,
-  kConflict,      ///< another order runs, or was taken since the report
-  kFenced,        ///< a holder with a higher fencing token was there
-  kOtherBackend,  ///< the address belongs to another incarnation
+  kAlreadyLoaded,
+  kConflict,          ///< another order runs, or was taken since the report
+  kFenced,            ///< a holder with a higher fencing token was there
+  kWrongIncarnation,  ///< the address belongs to another incarnation
   kInvalid,
   kNotSent,  ///< nothing was sent
   kUnknown,  ///< no answer: it may be carried out, now or later
@@ -63,14 +63,14 @@
 std::string_view NameOf(OrderOutcome outcome);
 
 /// Whether an order may go out now; asked once the connection is there.
-using MayOrder = std::function<bool()>;
+using OrderPrecondition = std::function<bool()>;
 
 /// A client of engines' control calls.
 template <class Control>
 concept BackendControl = requires(Control& control, const BackendEntry& entry,
-                                  const WeightsLoad& load, const MayOrder& may_order) {
-  { control.Report(entry) } -> std::same_as<net::awaitable<std::optional<EngineReport>>>;
-  { control.Load(entry, load, may_order) } -> std::same_as<net::awaitable<OrderOutcome>>;
+                                  const LoadOrder& load, const OrderPrecondition& may_order) {
+  { control.FetchStatus(entry) } -> std::same_as<net::awaitable<std::optional<EngineStatus>>>;
+  { control.SendLoadOrder(entry, load, may_order) } -> std::same_as<net::awaitable<OrderOutcome>>;
 };
 
 }  // namespace ridgehold
--- a/libs/control/include/control/stored_fact.h
+++ b/libs/control/include/control/decoded_item.h
@@ -17,22 +17,22 @@
 namespace ridgehold {
 
 /// The operator has named newer weights of a model.
-struct WeightsOrder {
+struct DesiredWeights {
   ModelId model;
   WeightsNumber number;
 };
 
 /// A key that is of no concern.
-struct IrrelevantFact {};
+struct IgnoredItem {};
 
 /// A key's meaning.
-using StoredFact = std::variant<IrrelevantFact, RoutingParts, WeightsOrder, BackendEntry>;
+using DecodedItem = std::variant<IgnoredItem, RoutingParts, DesiredWeights, BackendEntry>;
 
 /// Decodes keys and values of the store. Stateless.
 template <class Codec>
-concept FactCodec = requires(const StoreItem& item, std::string_view key) {
+concept ItemDecoder = requires(const StoreItem& item, std::string_view key) {
   /// Fails with kPlatformMalformed.
-  { Codec::Decode(item) } -> std::same_as<Result<StoredFact>>;
+  { Codec::Decode(item) } -> std::same_as<Result<DecodedItem>>;
   /// The backend server whose registration `key` is, if it is one.
   { Codec::BackendOf(key) } -> std::same_as<std::optional<BackendId>>;
 };
--- a/libs/control/include/control/own_records.h
+++ b/libs/control/include/control/instance_records.h
@@ -15,7 +15,7 @@
 namespace ridgehold {
 
 /// Keys of the gateways' own; all others belong to the platform.
-inline constexpr char kOwnPrefix[] = "ridgehold/";
+inline constexpr char kInstanceKeyPrefix[] = "ridgehold/";
 inline constexpr char kMemberPrefix[] = "ridgehold/members/";
 inline constexpr char kRolloutHolderKey[] = "ridgehold/rollout-holder";
 /// Followed by an availability zone: who holds its share of all quotas.
@@ -25,7 +25,7 @@
 struct Member {
   std::string address;  ///< without a port
   ZoneId zone;
-  StoreRevision marked;  ///< when its key was written: anew by each process
+  StoreRevision key_revision;  ///< when its key was written: anew by each process
 
   bool operator==(const Member&) const = default;
 };
@@ -37,7 +37,7 @@
 std::optional<Member> DecodeMember(const std::string& value);
 
 /// A copy of them as the store last told. Not thread-safe.
-class OwnRecords {
+class InstanceRecords {
  public:
   void Put(const StoreItem& item);
   void Remove(const std::string& key);
@@ -47,10 +47,10 @@
   const StoreItem* Find(const std::string& key) const;
 
   /// Items whose keys begin so, in the order of their keys.
-  std::vector<const StoreItem*> ItemsUnder(const std::string& prefix) const;
+  std::vector<const StoreItem*> ItemsWithPrefix(const std::string& prefix) const;
 
   /// How many members' keys come before `key` by name.
-  std::size_t MembersBefore(const std::string& key) const;
+  std::size_t MemberRank(const std::string& key) const;
 
   /// Gateways that have a member's key, in the order of their names.
   const std::vector<Member>& Members() const { return members_; }
@@ -59,13 +59,14 @@
 
   /// The member of `zone` that asks the store for the others there: the first
   /// by name. Nothing when none is known.
-  std::optional<Member> RelayOf(const ZoneId& zone) const;
+  std::optional<Member> ZoneRelay(const ZoneId& zone) const;
 
   /// The gateway through which `self` hears of the store: the relay of its zone;
   /// for that one the first of all gateways by name; nothing for this, which asks
   /// the store. So one gateway asks, whatever the size of the fleet, and changes
   /// arrive over two hops. Those in `silent`, by address, are passed over.
-  std::optional<Member> RelayFor(const Member& self, const std::set<std::string>& silent) const;
+  std::optional<Member> UpstreamRelay(const Member& self,
+                                      const std::set<std::string>& silent) const;
 
  private:
   /// Decoded once a change, not with each of the hundreds of looks a second.
--- a/libs/control/include/control/quarantine_records.h
+++ b/libs/control/include/control/quarantine_writer.h
@@ -11,7 +11,7 @@
 #include <optional>
 #include <string>
 
-#include "control/own_records.h"
+#include "control/instance_records.h"
 #include "control/state_store.h"
 #include "gateway/poison_guard.h"
 #include "log/log.h"
@@ -29,7 +29,7 @@
 std::optional<std::chrono::system_clock::time_point> DecodeQuarantine(const std::string& value);
 
 /// Nothing when `key` is not a quarantine's.
-std::optional<RequestFingerprint> QuarantinedAt(const std::string& key);
+std::optional<RequestFingerprint> ParseQuarantineKey(const std::string& key);
 
 /// Writes what this gateway has decided, under a lease that ends with the quarantine.
 /// The gateway that saw the last end writes at once; should it be gone, another does, the
@@ -37,21 +37,21 @@
 /// Datagrams tell the living sooner; the store tells those that come later. Runs on one
 /// executor.
 template <StateStore Store>
-class QuarantineRecords {
+class QuarantineWriter {
  public:
   struct Options {
     DaemonId self;
-    std::chrono::milliseconds look{250};
+    std::chrono::milliseconds poll_interval{250};
     /// A change of the store is known everywhere within a second or two.
-    std::chrono::milliseconds first_turn{3'000};
-    std::chrono::milliseconds turn{500};
-    std::size_t most_turns = 20;
+    std::chrono::milliseconds takeover_delay{3'000};
+    std::chrono::milliseconds delay_per_rank{500};
+    std::size_t max_rank = 20;
     /// Not worth a write any more.
-    std::chrono::milliseconds least_left{5'000};
+    std::chrono::milliseconds min_remaining{5'000};
   };
 
-  QuarantineRecords(Store& store, net::any_io_executor executor, PoisonGuard& guard,
-                    const OwnRecords& records, Options options)
+  QuarantineWriter(Store& store, net::any_io_executor executor, PoisonGuard& guard,
+                   const InstanceRecords& records, Options options)
       : store_(store),
         guard_(guard),
         records_(records),
@@ -62,7 +62,7 @@
     while (!stopped_) {
       co_await EraseReleased();
       co_await WriteDecided();
-      co_await WaitFor(timer_, options_.look);
+      co_await WaitFor(timer_, options_.poll_interval);
     }
   }
 
@@ -89,19 +89,19 @@
   }
 
   bool IsDue(const PoisonDetector::Quarantine& quarantine, TimePoint now) {
-    if (quarantine.until - now < options_.least_left) return false;
+    if (quarantine.until - now < options_.min_remaining) return false;
     if (records_.Find(KeyOf(quarantine.request)) != nullptr) return false;
     const TimePoint seen = seen_.try_emplace(quarantine.request, now).first->second;
     if (guard_.DecidedHere(quarantine.request)) return true;
-    const std::size_t before = records_.MembersBefore(kMemberPrefix + options_.self.value());
+    const std::size_t before = records_.MemberRank(kMemberPrefix + options_.self.value());
     return now - seen >=
-           options_.first_turn + std::min(before, options_.most_turns) * options_.turn;
+           options_.takeover_delay + std::min(before, options_.max_rank) * options_.delay_per_rank;
   }
 
   net::awaitable<void> Write(PoisonDetector::Quarantine quarantine) {
     const auto left =
         std::chrono::duration_cast<std::chrono::milliseconds>(quarantine.until - Clock::now());
-    const StoreResult<GrantedLease> granted = co_await store_.GrantLease(left);
+    const StoreResult<LeaseGrant> granted = co_await store_.GrantLease(left);
     if (granted.has_error()) co_return;
     StoreTransaction transaction;
     const std::string key = KeyOf(quarantine.request);
@@ -111,7 +111,7 @@
          granted->id});
     const StoreResult<StoreRevision> written = co_await store_.Commit(std::move(transaction));
     if (written.has_value()) co_return;
-    co_await store_.EndLease(granted->id);
+    co_await store_.RevokeLease(granted->id);
   }
 
   net::awaitable<void> EraseReleased() {
@@ -130,7 +130,7 @@
 
   Store& store_;
   PoisonGuard& guard_;
-  const OwnRecords& records_;
+  const InstanceRecords& records_;
   Options options_;
   Timer timer_;
   std::map<RequestFingerprint, TimePoint> seen_;  ///< since when each is quarantined
--- a/libs/control/include/control/rollout.h
+++ b/libs/control/include/control/rollout_controller.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "control/backend_control.h"
-#include "control/held_key.h"
+#include "control/leased_key.h"
 #include "control/rollout_options.h"
 #include "control/rollout_pace.h"
 #include "control/rollout_plan.h"
@@ -25,16 +25,16 @@
 namespace ridgehold {
 
 /// Orders engines only while it certainly holds the duty's key, and not before
-/// the former holder's last order is old enough (HeldKey). Judges by what
+/// the former holder's last order is old enough (LeasedKey). Judges by what
 /// engines report, never by what was ordered. Counts its time from when the
 /// weights were named, and hurries as their bound comes near. Runs on one
 /// executor.
 template <BackendControl Control, StateStore Store>
-class Rollout {
+class RolloutController {
  public:
   using Options = RolloutOptions;
 
-  Rollout(Control& control, HeldKey<Store>& duty, GatewayState& state, Options options)
+  RolloutController(Control& control, LeasedKey<Store>& duty, GatewayState& state, Options options)
       : control_(control),
         duty_(duty),
         state_(state),
@@ -48,7 +48,7 @@
       const TimePoint now = Clock::now();
       NoteMayOrder(duty_.MayAct(now));
       if (MayPrepare(now)) StartSteps(now);
-      co_await WaitFor(timer_, options_.look);
+      co_await WaitFor(timer_, options_.poll_interval);
     }
   }
 
@@ -74,15 +74,15 @@
   void NoteMayOrder(bool may_order) {
     if (std::exchange(may_order_, may_order) == may_order) return;
     Log(LogLevel::kInfo, may_order ? "rollout may order" : "rollout may not order",
-        {{"fencing", std::to_string(duty_.fencing())},
-         {"key_held", duty_.Held(Clock::now()) ? "yes" : "no"}});
+        {{"fencing", std::to_string(duty_.fencing_token())},
+         {"key_held", duty_.IsHeld(Clock::now()) ? "yes" : "no"}});
   }
 
-  bool MayOrder(TimePoint now) const { return !stopped_ && duty_.MayAct(now); }
+  bool OrderPrecondition(TimePoint now) const { return !stopped_ && duty_.MayAct(now); }
 
   /// Engines are emptied while the former holder's time runs out.
   bool MayPrepare(TimePoint now) const {
-    return !stopped_ && duty_.Held(now) && now >= duty_.acts_from() - options_.longest_drain;
+    return !stopped_ && duty_.IsHeld(now) && now >= duty_.active_from() - options_.max_drain;
   }
 
   void StartSteps(TimePoint now) {
@@ -119,7 +119,7 @@
   /// A silent engine takes nobody's turn.
   std::size_t TurnsTaken(TimePoint now) const {
     return static_cast<std::size_t>(std::ranges::count_if(steps_, [&](const auto& entry) {
-      return entry.second.answered || now - entry.second.begun < options_.prompt_report;
+      return entry.second.answered || now - entry.second.begun < options_.prompt_status;
     }));
   }
 
@@ -136,7 +136,7 @@
   /// Loads that will end before another engine is emptied.
   std::size_t LoadsEnding(TimePoint now) const {
     return static_cast<std::size_t>(std::ranges::count_if(steps_, [&](const auto& entry) {
-      return entry.second.turn && now - *entry.second.turn >= options_.first_poll;
+      return entry.second.turn && now - *entry.second.turn >= options_.first_load_poll;
     }));
   }
 
@@ -172,8 +172,8 @@
 
   /// A report of a later process at the address is none of this engine: that one
   /// counts its orders anew, and its registration is on the way.
-  net::awaitable<std::optional<EngineReport>> AskReport(const RolloutStep& step) {
-    std::optional<EngineReport> report = co_await control_.Report(step.engine->entry);
+  net::awaitable<std::optional<EngineStatus>> AskReport(const RolloutStep& step) {
+    std::optional<EngineStatus> report = co_await control_.FetchStatus(step.engine->entry);
     const StartStamp known = step.engine->entry.started;
     const bool compared = report && known != StartStamp() && report->started != StartStamp();
     if (compared && report->started != known) {
@@ -212,7 +212,7 @@
     bool empty = false;
     while (!empty && !stopped_ && Clock::now() - begun < pace_.DrainTime(step, Clock::now())) {
       KeepHeld(step);
-      co_await WaitFor(timer, options_.hold_spreads);
+      co_await WaitFor(timer, options_.hold_propagation);
       co_await AskLoad(step);
       empty = RolloutPace::Unrepeatable(step) == 0;
     }
@@ -221,33 +221,33 @@
   /// Waits until the holder may order, and a load of another engine has ended
   /// where too many run.
   net::awaitable<void> AwaitTurn(const RolloutStep& step, Timer& timer) {
-    while (!stopped_ && duty_.Held(Clock::now())) {
+    while (!stopped_ && duty_.IsHeld(Clock::now())) {
       const TimePoint now = Clock::now();
-      if (MayOrder(now) && Loading() < pace_.TurnsFor(Answering(now), now)) break;
+      if (OrderPrecondition(now) && Loading() < pace_.TurnsFor(Answering(now), now)) break;
       KeepHeld(step);
-      co_await WaitFor(timer, options_.look);
+      co_await WaitFor(timer, options_.poll_interval);
     }
   }
 
   /// Holds are short, in case this gateway ends, so they are renewed.
   void KeepHeld(const RolloutStep& step) {
     const TimePoint now = Clock::now();
-    if (step.engine->hold_until - now >= options_.hold / 2) return;
-    state_.Hold(*step.engine, options_.hold, now);
+    if (step.engine->hold_until - now >= options_.hold_duration / 2) return;
+    state_.Hold(*step.engine, options_.hold_duration, now);
   }
 
   void LeaveAlone(const RolloutStep& step) {
     const TimePoint now = Clock::now();
-    left_alone_[step.engine->entry.id] = now + options_.silence;
+    left_alone_[step.engine->entry.id] = now + options_.unresponsive_backoff;
     // Its kept connections may have gone silent, and not the engine.
     state_.pool().Forget(step.engine->entry.address);
     BackendDirectory::NoteFailure(*step.engine, now);
   }
 
   net::awaitable<void> Load(const RolloutStep& step, Timer& timer, StepTimes& times) {
-    const TimePoint give_up = Clock::now() + options_.patience;
+    const TimePoint give_up = Clock::now() + options_.load_timeout;
     std::optional<WeightsNumber> ordered;
-    std::uint32_t at_once = 0;
+    std::uint32_t concurrency = 0;
     while (Clock::now() < give_up && !stopped_ && !step.engine->removed) {
       const auto report = co_await AskReport(step);
       if (!report) {
@@ -257,18 +257,18 @@
       }
       if (TakeReport(step, *report, ordered)) {
         times.outcome = "loaded";
-        if (ordered) pace_.NoteLoad(at_once, Since(*times.ordered));
+        if (ordered) pace_.NoteLoad(concurrency, Since(*times.ordered));
         break;
       }
-      if (!ordered && !MayOrder(Clock::now())) {
+      if (!ordered && !OrderPrecondition(Clock::now())) {
         times.outcome = "duty_lost";
         break;
       }
-      std::chrono::milliseconds pause = options_.poll;
+      std::chrono::milliseconds pause = options_.load_poll_interval;
       if (!ordered && !report->busy) {
         ordered = co_await Order(step, *report, times);
-        at_once = static_cast<std::uint32_t>(Loading());
-        if (ordered) pause = options_.first_poll;
+        concurrency = static_cast<std::uint32_t>(Loading());
+        if (ordered) pause = options_.first_load_poll;
       }
       KeepHeld(step);
       co_await WaitFor(timer, pause);
@@ -277,7 +277,7 @@
 
   /// Returns whether the engine has the weights it was ordered to load, or
   /// the newest. Newer ones named meanwhile are a step of their own.
-  bool TakeReport(const RolloutStep& step, const EngineReport& report,
+  bool TakeReport(const RolloutStep& step, const EngineStatus& report,
                   std::optional<WeightsNumber> ordered) {
     const auto found = report.weights.find(step.model);
     const auto newest = state_.named_weights().Newest(step.model);
@@ -294,31 +294,34 @@
 
   /// Returns the weights the engine loads now; nothing when it took no order.
   net::awaitable<std::optional<WeightsNumber>> Order(const RolloutStep& step,
-                                                     const EngineReport& report, StepTimes& times) {
-    WeightsLoad load;
+                                                     const EngineStatus& report, StepTimes& times) {
+    LoadOrder load;
     load.model = step.model;
     load.number = *state_.named_weights().Newest(step.model);
     load.holder = options_.self;
-    load.fencing = duty_.fencing();
+    load.fencing_token = duty_.fencing_token();
     load.mode = pace_.ModeFor(step, Clock::now());
     load.expected_orders_taken = report.orders_taken;
     times.ordered = Clock::now();
     times.left_to_end = RolloutPace::Unrepeatable(step);
     times.mode = load.mode;
     // Report and connection take time; the duty may be gone when both are there.
-    const ridgehold::MayOrder may_order = [this] { return MayOrder(Clock::now()); };
-    const OrderOutcome outcome = co_await control_.Load(step.engine->entry, load, may_order);
+    const ridgehold::OrderPrecondition may_order = [this] {
+      return OrderPrecondition(Clock::now());
+    };
+    const OrderOutcome outcome =
+        co_await control_.SendLoadOrder(step.engine->entry, load, may_order);
     const std::string outcome_name(NameOf(outcome));
     Log(LogLevel::kInfo, "ordered weights",
         {{"backend", step.engine->entry.id.value()},
          {"model", load.model.value()},
          {"weights", std::to_string(load.number.value())},
-         {"fencing", std::to_string(load.fencing)},
+         {"fencing", std::to_string(load.fencing_token)},
          {"mode", std::string(NameOf(load.mode))},
          {"orders_taken", std::to_string(load.expected_orders_taken)},
          {"outcome", outcome_name}});
     state_.metrics().GetCounter("ridgehold_weight_orders").Add();
-    const bool taken = outcome == OrderOutcome::kStarted || outcome == OrderOutcome::kAlreadyHolds;
+    const bool taken = outcome == OrderOutcome::kStarted || outcome == OrderOutcome::kAlreadyLoaded;
     co_return taken ? std::optional(load.number) : std::nullopt;
   }
 
@@ -327,7 +330,7 @@
   }
 
   Control& control_;
-  HeldKey<Store>& duty_;
+  LeasedKey<Store>& duty_;
   GatewayState& state_;
   Options options_;
   RolloutPace pace_;
--- a/libs/control/include/control/rollout_pace.h
+++ b/libs/control/include/control/rollout_pace.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "control/backend_control.h"
-#include "control/load_times.h"
+#include "control/load_durations.h"
 #include "control/rollout_options.h"
 #include "control/rollout_plan.h"
 #include "gateway/gateway_state.h"
@@ -21,7 +21,7 @@
   RolloutPace(GatewayState& state, const RolloutOptions& options)
       : state_(state), options_(options) {}
 
-  /// The process has just started; see RolloutOptions::unknown_namings.
+  /// The process has just started; see RolloutOptions::assumed_age_grace.
   void Start(TimePoint now) { started_ = now; }
 
   /// How many of `engines`, which are to be brought up, load at once: more as
@@ -29,8 +29,10 @@
   /// on weights that are too old.
   std::uint32_t TurnsFor(const std::vector<RolloutStep>& engines, TimePoint now) const;
 
-  /// A load that was ordered as one of `at_once` took `took`.
-  void NoteLoad(std::uint32_t at_once, Duration took) { load_times_.Note(at_once, took); }
+  /// A load that was ordered as one of `concurrency` took `took`.
+  void NoteLoad(std::uint32_t concurrency, Duration took) {
+    load_durations_.Record(concurrency, took);
+  }
 
   /// How long an engine is waited for to empty, so that its order comes well
   /// before the bound.
@@ -71,7 +73,7 @@
   GatewayState& state_;
   const RolloutOptions& options_;
   TimePoint started_{};
-  LoadTimes load_times_;
+  LoadDurations load_durations_;
 };
 
 }  // namespace ridgehold
--- a/libs/control/include/control/rollout_plan.h
+++ b/libs/control/include/control/rollout_plan.h
@@ -23,14 +23,15 @@
                                          const NamedWeights& named);
 
 /// Engines of a service that load at once when there is time: one of
-/// `engines_for_each_load`, rounded up.
-std::uint32_t UsualLoadsAtOnce(const BackendDirectory& directory, const ServiceId& service,
-                               std::uint32_t engines_for_each_load);
+/// `engines_per_load`, rounded up.
+std::uint32_t DefaultLoadConcurrency(const BackendDirectory& directory, const ServiceId& service,
+                                     std::uint32_t engines_per_load);
 
 /// Engines that must load at once so that each has its order in time, `usual`
 /// at least: `time_left` has an entry for each engine, and each takes `load`.
 /// Those with the least time go first; so an engine that is late hurries those
 /// before it, and not all others. Pure.
-std::uint32_t LoadsAtOnce(std::uint32_t usual, std::vector<Duration> time_left, Duration load);
+std::uint32_t RequiredLoadConcurrency(std::uint32_t usual, std::vector<Duration> time_left,
+                                      Duration load);
 
 }  // namespace ridgehold
--- a/libs/control/include/control/rollout_step_log.h
+++ b/libs/control/include/control/rollout_step_log.h
@@ -16,7 +16,7 @@
   TimePoint begun{};
   std::optional<TimePoint> emptied;
   std::optional<TimePoint> ordered;
-  ReloadMode mode = ReloadMode::kFinishRuns;
+  ReloadMode mode = ReloadMode::kFinishRequests;
   std::uint32_t left_to_end = 0;  ///< runs there that could not be resumed, when it was ordered
   const char* outcome = "given_up";
 };
--- a/libs/control/include/control/state_follower.h
+++ b/libs/control/include/control/state_follower.h
@@ -10,10 +10,10 @@
 #include <string>
 #include <vector>
 
-#include "control/fact_sink.h"
+#include "control/decoded_item.h"
 #include "control/state_store.h"
-#include "control/store_contact.h"
-#include "control/stored_fact.h"
+#include "control/store_connectivity.h"
+#include "control/store_item_applier.h"
 #include "log/log.h"
 #include "net/wait.h"
 
@@ -21,33 +21,33 @@
 
 /// Runs until Stop on one executor. Any answer that proves what the newest
 /// configuration is also moves GatewayState::confirmed_at.
-template <StateStore Store, FactCodec Codec>
+template <StateStore Store, ItemDecoder Codec>
 class StateFollower {
  public:
   struct Options {
     /// An empty watch ends after this long and confirms the configuration; a
     /// third of the strictest trust in keys, 5 s, leaves room for a lost one.
-    std::chrono::milliseconds watch{1'000};
+    std::chrono::milliseconds watch_timeout{1'000};
     /// After news the store is not asked again for so long: a rollout writes
     /// some twenty keys a second, and each would cost every relay a call. What
     /// is late by this stays within a tenth of the time that leaving backend
     /// servers and changed configurations leave.
-    std::chrono::milliseconds gather{200};
+    std::chrono::milliseconds batch_delay{200};
     /// Whether another gateway's copy is followed now instead of the store.
     std::function<bool()> follows_peer = [] { return false; };
-    std::chrono::milliseconds peer_look{100};
+    std::chrono::milliseconds peer_poll_interval{100};
     /// After the first listing the store is not asked for so long while a peer's
     /// copy may come to be followed.
-    std::chrono::milliseconds relay_patience{0};
+    std::chrono::milliseconds relay_wait{0};
     /// What a process finds at its start was written at an unknown time; its
     /// peers tell better if there are any.
-    std::chrono::milliseconds unknown_age{5'000};
+    std::chrono::milliseconds assumed_age{5'000};
     /// Between failed calls; doubled up to the longest.
-    std::chrono::milliseconds first_pause{50};
-    std::chrono::milliseconds longest_pause{400};
+    std::chrono::milliseconds min_backoff{50};
+    std::chrono::milliseconds max_backoff{400};
   };
 
-  StateFollower(Store& store, GatewayState& state, OwnRecords& records, Options options)
+  StateFollower(Store& store, GatewayState& state, InstanceRecords& records, Options options)
       : store_(store),
         state_(state),
         records_(records),
@@ -58,8 +58,8 @@
   net::awaitable<void> Run() {
     while (!stopped_) {
       if (listed_ && options_.follows_peer()) {
-        contact_.NoteUnasked();
-        co_await WaitFor(timer_, options_.peer_look);
+        connectivity_.ResetFailures();
+        co_await WaitFor(timer_, options_.peer_poll_interval);
         continue;
       }
       // No co_await within a condition: g++ 12 miscompiles some of them.
@@ -97,7 +97,7 @@
   /// one's revision. `settled` is as in TakeCopy.
   void TakeChanges(const std::vector<StoreEvent>& changes, StoreRevision revision,
                    TimePoint confirmed, TimePoint settled = {}) {
-    contact_.NoteSettling(settled);
+    connectivity_.ExtendGrace(settled);
     TakeEvents(changes, revision);
     state_.ConfirmSnapshot(confirmed);
   }
@@ -108,7 +108,7 @@
   void TakeCopy(std::vector<StoreItem> items, StoreRevision revision, TimePoint confirmed,
                 TimePoint settled = {}) {
     if (revision < revision_) return;
-    contact_.NoteSettling(settled);
+    connectivity_.ExtendGrace(settled);
     if (revision > revision_) {
       TakeListing(items);
       revision_ = revision;
@@ -121,16 +121,16 @@
 
   /// Whether the store has been read whole once.
   bool ready() const { return read_once_; }
-  const StoreContact& contact() const { return contact_; }
+  const StoreConnectivity& connectivity() const { return connectivity_; }
 
   /// Whether the tables are being kept current now.
-  bool connected() const { return listed_ && !contact_.failing(); }
+  bool connected() const { return listed_ && !connectivity_.failing(); }
 
  private:
   net::awaitable<void> AwaitRelay() {
-    const TimePoint until = Clock::now() + options_.relay_patience;
+    const TimePoint until = Clock::now() + options_.relay_wait;
     while (!stopped_ && !options_.follows_peer() && Clock::now() < until) {
-      co_await WaitFor(timer_, options_.peer_look);
+      co_await WaitFor(timer_, options_.peer_poll_interval);
     }
   }
 
@@ -143,7 +143,7 @@
     for (bool more = true; more;) {
       const StoreResult<StorePage> page = co_await store_.List("", after);
       if (page.has_error()) {
-        NoteFault("list", page.error(), begun);
+        RecordFailure("list", page.error(), begun);
         co_return false;
       }
       // Pages are no snapshot; the watch goes on from before the first.
@@ -152,7 +152,7 @@
       more = page->has_more && !page->items.empty();
       if (more) after = page->items.back().key;
     }
-    NoteAnswer();
+    RecordSuccess();
     // What a peer told while the pages were read stands if it is newer.
     const bool overtaken = revision_ > std::max(known, *first_revision);
     if (!overtaken) {
@@ -168,41 +168,42 @@
 
   void TakeListing(const std::vector<StoreItem>& items) {
     const TimePoint now = Clock::now();
-    const FactSink::Writing writing = WritingOf(now);
+    const StoreItemApplier::Writing writing = WritingOf(now);
     std::vector<BackendEntry> backends;
     records_.Clear();
     items_.clear();
     ForgetChanges();
     for (const StoreItem& item : items) {
       items_[item.key] = item;
-      if (item.key.starts_with(kOwnPrefix)) {
+      if (item.key.starts_with(kInstanceKeyPrefix)) {
         sink_.TakeOwn(item);
         continue;
       }
-      Decode(item, [&](StoredFact fact) {
+      Decode(item, [&](DecodedItem fact) {
         if (auto* entry = std::get_if<BackendEntry>(&fact)) backends.push_back(*entry);
         sink_.Take(item, std::move(fact), writing);
       });
     }
-    sink_.ReplaceBackends(backends, contact_.GraceForMissing(now), now);
+    sink_.ReplaceBackends(backends, connectivity_.GraceForMissing(now), now);
   }
 
   net::awaitable<void> WatchOnce() {
     const TimePoint begun = Clock::now();
     // After a failure an answer at once tells that the store is back; followers
     // of this gateway ask the store themselves until then.
-    const auto wait = contact_.failing() ? std::chrono::milliseconds(0) : options_.watch;
-    const StoreResult<WatchAnswer> answer = co_await store_.Watch("", revision_, wait);
+    const auto wait =
+        connectivity_.failing() ? std::chrono::milliseconds(0) : options_.watch_timeout;
+    const StoreResult<WatchResult> answer = co_await store_.Watch("", revision_, wait);
     if (answer.has_error()) {
-      NoteFault("watch", answer.error(), begun);
-      if (answer.error() == StoreFault::kHistoryGone) {
+      RecordFailure("watch", answer.error(), begun);
+      if (answer.error() == StoreError::kCompacted) {
         listed_ = false;
         co_return;
       }
       co_await Pause();
       co_return;
     }
-    NoteAnswer();
+    RecordSuccess();
     const TimePoint now = Clock::now();
     TakeEvents(answer->events, answer->revision);
     // An empty watch that lasted its whole time saw nothing until its end. Of a
@@ -210,16 +211,16 @@
     const auto late = now - begun - wait;
     const bool waited = answer->events.empty() && late >= Duration::zero() && late <= kPromptAnswer;
     state_.ConfirmSnapshot(waited ? begun + wait : begun);
-    if (!answer->events.empty()) co_await WaitFor(timer_, options_.gather);
+    if (!answer->events.empty()) co_await WaitFor(timer_, options_.batch_delay);
   }
 
   /// When something heard of at `now` was written at the earliest: bounds count
   /// from the writing, and news is late by gathering, relays and a slow store.
-  FactSink::Writing WritingOf(TimePoint now) const {
-    if (!read_once_) return {now - options_.unknown_age, true};
+  StoreItemApplier::Writing WritingOf(TimePoint now) const {
+    if (!read_once_) return {now - options_.assumed_age, true};
     // After an outage that says little, and no more than at a start.
     const bool prompt = now - state_.confirmed_at() <= kPromptNews;
-    return {std::max<TimePoint>(state_.confirmed_at(), now - options_.unknown_age), !prompt};
+    return {std::max<TimePoint>(state_.confirmed_at(), now - options_.assumed_age), !prompt};
   }
 
   /// Takes what is new of an answer. Watches and peers' copies are read at the
@@ -227,25 +228,25 @@
   /// of one transaction share a revision, so it is raised after all of them.
   void TakeEvents(const std::vector<StoreEvent>& events, StoreRevision revision) {
     const TimePoint now = Clock::now();
-    const FactSink::Writing writing = WritingOf(now);
+    const StoreItemApplier::Writing writing = WritingOf(now);
     for (const StoreEvent& event : events) {
       if (event.revision > revision_) TakeEvent(event, now, writing);
     }
     revision_ = std::max(revision_, revision);
   }
 
-  void TakeEvent(const StoreEvent& event, TimePoint now, const FactSink::Writing& writing) {
+  void TakeEvent(const StoreEvent& event, TimePoint now, const StoreItemApplier::Writing& writing) {
     Remember(event);
     items_.erase(event.key);
     if (event.item) {
       items_[event.key] = *event.item;
-      if (event.key.starts_with(kOwnPrefix)) return sink_.TakeOwn(*event.item);
+      if (event.key.starts_with(kInstanceKeyPrefix)) return sink_.TakeOwn(*event.item);
       return Decode(*event.item,
-                    [&](StoredFact fact) { sink_.Take(*event.item, std::move(fact), writing); });
+                    [&](DecodedItem fact) { sink_.Take(*event.item, std::move(fact), writing); });
     }
-    if (event.key.starts_with(kOwnPrefix)) return sink_.RemoveOwn(event.key);
+    if (event.key.starts_with(kInstanceKeyPrefix)) return sink_.RemoveOwn(event.key);
     if (const auto id = Codec::BackendOf(event.key)) {
-      sink_.RemoveBackend(*id, contact_.GraceForMissing(now), now);
+      sink_.RemoveBackend(*id, connectivity_.GraceForMissing(now), now);
     }
   }
 
@@ -276,31 +277,31 @@
         });
   }
 
-  void NoteAnswer() {
+  void RecordSuccess() {
     const TimePoint now = Clock::now();
-    pause_ = options_.first_pause;
-    if (const auto since = contact_.failing_since()) {
+    pause_ = options_.min_backoff;
+    if (const auto since = connectivity_.failing_since()) {
       const auto away = std::chrono::duration_cast<std::chrono::milliseconds>(now - *since);
       Log(LogLevel::kInfo, "store regained", {{"away_ms", std::to_string(away.count())}});
     }
-    contact_.NoteAnswer(now);
+    connectivity_.RecordSuccess(now);
   }
 
-  void NoteFault(const char* call, StoreFault fault, TimePoint begun) {
+  void RecordFailure(const char* call, StoreError fault, TimePoint begun) {
     state_.metrics().GetCounter("ridgehold_platform_faults").Add();
     // The store answered; only the history is gone.
-    if (fault == StoreFault::kHistoryGone) {
+    if (fault == StoreError::kCompacted) {
       Log(LogLevel::kInfo, "store history gone, listing again",
           {{"revision", std::to_string(revision_.value())}});
       return;
     }
-    if (!contact_.NoteFault(begun)) return;
+    if (!connectivity_.RecordFailure(begun)) return;
     Log(LogLevel::kWarn, "store lost", {{"call", call}, {"fault", std::string(NameOf(fault))}});
   }
 
   net::awaitable<void> Pause() {
     const std::chrono::milliseconds pause = pause_;
-    pause_ = std::min(pause_ * 2, options_.longest_pause);
+    pause_ = std::min(pause_ * 2, options_.max_backoff);
     co_await WaitFor(timer_, pause);
   }
 
@@ -315,11 +316,11 @@
 
   Store& store_;
   GatewayState& state_;
-  OwnRecords& records_;
-  FactSink sink_;
+  InstanceRecords& records_;
+  StoreItemApplier sink_;
   Options options_;
   Timer timer_;
-  StoreContact contact_;
+  StoreConnectivity connectivity_;
   StoreRevision revision_;
   std::map<std::string, StoreItem> items_;
   std::deque<StoreEvent> recent_;
--- a/libs/control/include/control/state_store.h
+++ b/libs/control/include/control/state_store.h
@@ -22,12 +22,12 @@
 using StoreLeaseId = Strong<struct StoreLeaseIdTag, std::uint64_t>;
 
 /// Why a call had no result.
-enum class StoreFault : std::uint8_t {
+enum class StoreError : std::uint8_t {
   kNotSent,          ///< the store was not reached; nothing was done
   kUnavailable,      ///< it refused for now; nothing was done
-  kTooManyCalls,     ///< over the rate; nothing was done
+  kRateLimited,      ///< over the rate; nothing was done
   kNoAnswer,         ///< sent, and it may have been done, or may be done later
-  kHistoryGone,      ///< a watch asked for changes that are no longer kept
+  kCompacted,        ///< a watch asked for changes that are no longer kept
   kConditionFailed,  ///< a key had another revision than the condition said
   kNotFound,         ///< no such key or lease
   kRejected,         ///< the call itself is at fault
@@ -35,12 +35,12 @@
 };
 
 /// A fault's name for log lines.
-std::string_view NameOf(StoreFault fault);
+std::string_view NameOf(StoreError fault);
 
 /// A value or a fault. Not LEAF: its failures live in a thread's handler
 /// scope, which a coroutine leaves when it waits.
 template <class T>
-using StoreResult = boost::system::result<T, StoreFault>;
+using StoreResult = boost::system::result<T, StoreError>;
 
 /// A stored key.
 struct StoreItem {
@@ -65,7 +65,7 @@
 };
 
 /// What a watch returns.
-struct WatchAnswer {
+struct WatchResult {
   std::vector<StoreEvent> events;
   StoreRevision revision;  ///< to go on from
 };
@@ -91,7 +91,7 @@
 };
 
 /// A lease and the time it was granted for.
-struct GrantedLease {
+struct LeaseGrant {
   StoreLeaseId id;
   std::chrono::milliseconds ttl{0};
 };
@@ -102,11 +102,11 @@
                               std::chrono::milliseconds time, const StoreTransaction& transaction,
                               StoreLeaseId lease) {
   { store.List(text, text) } -> std::same_as<net::awaitable<StoreResult<StorePage>>>;
-  { store.Watch(text, revision, time) } -> std::same_as<net::awaitable<StoreResult<WatchAnswer>>>;
+  { store.Watch(text, revision, time) } -> std::same_as<net::awaitable<StoreResult<WatchResult>>>;
   { store.Commit(transaction) } -> std::same_as<net::awaitable<StoreResult<StoreRevision>>>;
-  { store.GrantLease(time) } -> std::same_as<net::awaitable<StoreResult<GrantedLease>>>;
-  { store.RenewLease(lease) } -> std::same_as<net::awaitable<StoreResult<GrantedLease>>>;
-  { store.EndLease(lease) } -> std::same_as<net::awaitable<StoreResult<StoreLeaseId>>>;
+  { store.GrantLease(time) } -> std::same_as<net::awaitable<StoreResult<LeaseGrant>>>;
+  { store.RenewLease(lease) } -> std::same_as<net::awaitable<StoreResult<LeaseGrant>>>;
+  { store.RevokeLease(lease) } -> std::same_as<net::awaitable<StoreResult<StoreLeaseId>>>;
 };
 
 }  // namespace ridgehold
--- a/libs/control/include/control/fact_sink.h
+++ b/libs/control/include/control/store_item_applier.h
@@ -6,17 +6,18 @@
 #include <string>
 
 #include "base/result.h"
-#include "control/own_records.h"
-#include "control/store_contact.h"
-#include "control/stored_fact.h"
+#include "control/decoded_item.h"
+#include "control/instance_records.h"
+#include "control/store_connectivity.h"
 #include "gateway/gateway_state.h"
 
 namespace ridgehold {
 
 /// One line in the log for each change of belief. Not thread-safe.
-class FactSink {
+class StoreItemApplier {
  public:
-  FactSink(GatewayState& state, OwnRecords& records) : state_(state), records_(records) {}
+  StoreItemApplier(GatewayState& state, InstanceRecords& records)
+      : state_(state), records_(records) {}
 
   /// When a fact was written, as far as is known.
   struct Writing {
@@ -25,7 +26,7 @@
   };
 
   /// Takes a decoded fact; `item` is where it came from.
-  void Take(const StoreItem& item, StoredFact fact, const Writing& writing);
+  void Take(const StoreItem& item, DecodedItem fact, const Writing& writing);
 
   /// A key of the gateways' own.
   void TakeOwn(const StoreItem& item);
@@ -46,7 +47,7 @@
 
  private:
   void TakeConfig(const StoreItem& item, RoutingParts parts);
-  void TakeWeights(const WeightsOrder& order, const Writing& writing);
+  void TakeWeights(const DesiredWeights& order, const Writing& writing);
   void TakeBackend(const StoreItem& item, const BackendEntry& entry);
   void CountMembers();
   void TakeQuarantine(const StoreItem& item);
@@ -58,7 +59,7 @@
   static constexpr int kMostRejectionLines = 20;  ///< in one window
 
   GatewayState& state_;
-  OwnRecords& records_;
+  InstanceRecords& records_;
   TimePoint rejections_since_{};
   int rejection_lines_ = 0;
 };
--- a/libs/control/src/backend_control.cc
+++ b/libs/control/src/backend_control.cc
@@ -4,11 +4,11 @@
 
 std::string_view NameOf(ReloadMode mode) {
   switch (mode) {
-    case ReloadMode::kFinishRuns:
+    case ReloadMode::kFinishRequests:
       return "finish_runs";
-    case ReloadMode::kBreakRuns:
+    case ReloadMode::kAbortRequests:
       return "break_runs";
-    case ReloadMode::kContinueRuns:
+    case ReloadMode::kContinueRequests:
       break;
   }
   return "continue_runs";
@@ -18,13 +18,13 @@
   switch (outcome) {
     case OrderOutcome::kStarted:
       return "started";
-    case OrderOutcome::kAlreadyHolds:
+    case OrderOutcome::kAlreadyLoaded:
       return "already_holds";
     case OrderOutcome::kConflict:
       return "conflict";
     case OrderOutcome::kFenced:
       return "fenced";
-    case OrderOutcome::kOtherBackend:
+    case OrderOutcome::kWrongIncarnation:
       return "other_backend";
     case OrderOutcome::kInvalid:
       return "invalid";
--- a/libs/control/src/own_records.cc
+++ b/libs/control/src/instance_records.cc
@@ -1,4 +1,4 @@
-#include "control/own_records.h"
+#include "control/instance_records.h"
 
 #include <algorithm>
 
@@ -19,33 +19,33 @@
   return Member{value.substr(0, separator), ZoneId(value.substr(separator + 1)), {}};
 }
 
-const StoreItem* OwnRecords::Find(const std::string& key) const {
+const StoreItem* InstanceRecords::Find(const std::string& key) const {
   const auto found = items_.find(key);
   return found == items_.end() ? nullptr : &found->second;
 }
 
-void OwnRecords::Put(const StoreItem& item) {
+void InstanceRecords::Put(const StoreItem& item) {
   items_[item.key] = item;
   if (item.key.starts_with(kMemberPrefix)) ReadMembers();
 }
 
-void OwnRecords::Remove(const std::string& key) {
+void InstanceRecords::Remove(const std::string& key) {
   items_.erase(key);
   if (key.starts_with(kMemberPrefix)) ReadMembers();
 }
 
-void OwnRecords::Clear() {
+void InstanceRecords::Clear() {
   items_.clear();
   ReadMembers();
 }
 
-void OwnRecords::ReadMembers() {
+void InstanceRecords::ReadMembers() {
   std::vector<Member> members;
   for (auto at = items_.lower_bound(kMemberPrefix);
        at != items_.end() && at->first.starts_with(kMemberPrefix); ++at) {
     auto member = DecodeMember(at->second.value);
     if (!member) continue;
-    member->marked = at->second.revision;
+    member->key_revision = at->second.revision;
     members.push_back(std::move(*member));
   }
   if (members == members_) return;
@@ -53,7 +53,7 @@
   ++members_version_;
 }
 
-std::vector<const StoreItem*> OwnRecords::ItemsUnder(const std::string& prefix) const {
+std::vector<const StoreItem*> InstanceRecords::ItemsWithPrefix(const std::string& prefix) const {
   std::vector<const StoreItem*> found;
   for (auto at = items_.lower_bound(prefix); at != items_.end() && at->first.starts_with(prefix);
        ++at) {
@@ -62,18 +62,18 @@
   return found;
 }
 
-std::size_t OwnRecords::MembersBefore(const std::string& key) const {
+std::size_t InstanceRecords::MemberRank(const std::string& key) const {
   return static_cast<std::size_t>(
       std::distance(items_.lower_bound(kMemberPrefix), items_.lower_bound(key)));
 }
 
-std::optional<Member> OwnRecords::RelayOf(const ZoneId& zone) const {
+std::optional<Member> InstanceRecords::ZoneRelay(const ZoneId& zone) const {
   const auto relay = std::ranges::find(members_, zone, &Member::zone);
   return relay == members_.end() ? std::nullopt : std::optional(*relay);
 }
 
-std::optional<Member> OwnRecords::RelayFor(const Member& self,
-                                           const std::set<std::string>& silent) const {
+std::optional<Member> InstanceRecords::UpstreamRelay(const Member& self,
+                                                     const std::set<std::string>& silent) const {
   const auto usable = [&](const Member& member) {
     return member.address == self.address || !silent.contains(member.address);
   };
--- a/libs/control/src/load_times.cc
+++ b/libs/control/src/load_durations.cc
@@ -1,4 +1,4 @@
-#include "control/load_times.h"
+#include "control/load_durations.h"
 
 #include <algorithm>
 
@@ -10,13 +10,13 @@
 
 }  // namespace
 
-void LoadTimes::Note(std::uint32_t at_once, Duration took) {
-  if (at_once == 0 || took <= Duration::zero()) return;
-  Duration& shortest = shortest_.try_emplace(at_once, took).first->second;
+void LoadDurations::Record(std::uint32_t concurrency, Duration took) {
+  if (concurrency == 0 || took <= Duration::zero()) return;
+  Duration& shortest = shortest_.try_emplace(concurrency, took).first->second;
   shortest = std::min(shortest, took);
 }
 
-std::uint32_t LoadTimes::MostUseful(std::uint32_t usual) const {
+std::uint32_t LoadDurations::MaxUsefulConcurrency(std::uint32_t usual) const {
   constexpr std::uint32_t kBeyondKnown = 2;
   std::uint32_t useful = std::max(usual, 1U);
   if (shortest_.empty()) return kBeyondKnown * useful;
--- a/libs/control/src/quarantine_records.cc
+++ b/libs/control/src/quarantine_writer.cc
@@ -1,4 +1,4 @@
-#include "control/quarantine_records.h"
+#include "control/quarantine_writer.h"
 
 #include <string_view>
 
@@ -26,7 +26,7 @@
   return std::chrono::system_clock::time_point(std::chrono::milliseconds(*unix_ms));
 }
 
-std::optional<RequestFingerprint> QuarantinedAt(const std::string& key) {
+std::optional<RequestFingerprint> ParseQuarantineKey(const std::string& key) {
   const std::string_view prefix = kQuarantinePrefix;
   if (!key.starts_with(prefix)) return std::nullopt;
   const std::string_view text = key;
--- a/libs/control/src/rollout_pace.cc
+++ b/libs/control/src/rollout_pace.cc
@@ -19,32 +19,34 @@
 
 std::uint32_t RolloutPace::TurnsFor(const std::vector<RolloutStep>& engines, TimePoint now) const {
   if (engines.empty()) return 1;
-  const std::uint32_t usual = UsualLoadsAtOnce(
-      state_.directory(), engines.front().engine->entry.service, options_.engines_for_each_load);
+  const std::uint32_t usual = DefaultLoadConcurrency(
+      state_.directory(), engines.front().engine->entry.service, options_.engines_per_load);
   std::vector<Duration> time_left;
   for (const RolloutStep& step : engines) {
     const auto bound = BoundOf(step, now);
     if (!bound) continue;
-    time_left.push_back(std::chrono::duration_cast<Duration>(*bound - options_.reserve - now));
+    time_left.push_back(
+        std::chrono::duration_cast<Duration>(*bound - options_.deadline_margin - now));
   }
-  const std::uint32_t in_time = LoadsAtOnce(usual, std::move(time_left), options_.load);
-  if (!options_.observe_loads) return in_time;
-  return std::max(usual, std::min(in_time, load_times_.MostUseful(usual)));
+  const std::uint32_t in_time =
+      RequiredLoadConcurrency(usual, std::move(time_left), options_.expected_load);
+  if (!options_.limit_by_measured_loads) return in_time;
+  return std::max(usual, std::min(in_time, load_durations_.MaxUsefulConcurrency(usual)));
 }
 
 Duration RolloutPace::DrainTime(const RolloutStep& step, TimePoint now) const {
   const Duration worth = DrainWorth(step, now);
   const auto bound = BoundOf(step, now);
   if (!bound) return worth;
-  const auto spare = *bound - options_.reserve - options_.load - now;
-  return std::clamp<Duration>(std::chrono::duration_cast<Duration>(spare), options_.hold_spreads,
-                              worth);
+  const auto spare = *bound - options_.deadline_margin - options_.expected_load - now;
+  return std::clamp<Duration>(std::chrono::duration_cast<Duration>(spare),
+                              options_.hold_propagation, worth);
 }
 
 Duration RolloutPace::DrainWorth(const RolloutStep& step, TimePoint now) const {
   const double idle = 1 - PressureAt(step.engine->entry.service, now);
-  const Duration span = options_.longest_drain - options_.shortest_drain;
-  return options_.shortest_drain + std::chrono::duration_cast<Duration>(idle * span);
+  const Duration span = options_.max_drain - options_.min_drain;
+  return options_.min_drain + std::chrono::duration_cast<Duration>(idle * span);
 }
 
 double RolloutPace::PressureAt(const ServiceId& service, TimePoint now) const {
@@ -68,25 +70,25 @@
 
 ReloadMode RolloutPace::ModeFor(const RolloutStep& step, TimePoint now) const {
   if (Unrepeatable(step) == 0) {
-    const std::uint32_t lost = options_.spare_retries ? Uncovered(step, now) : 0;
+    const std::uint32_t lost = options_.preserve_retry_budget ? Uncovered(step, now) : 0;
     const bool most_resumed = kLossAgainstPause * lost <= Running(step);
-    return most_resumed ? ReloadMode::kBreakRuns : ReloadMode::kContinueRuns;
+    return most_resumed ? ReloadMode::kAbortRequests : ReloadMode::kContinueRequests;
   }
   const auto bound = BoundOf(step, now);
-  const bool time_left = !bound || now + options_.longest_finish + options_.reserve < *bound;
+  const bool time_left = !bound || now + options_.max_finish + options_.deadline_margin < *bound;
   const double speed = state_.TokensPerMs(step.engine->entry.service);
   const Duration finish = BackendDirectory::ExpectedWait(*step.engine, speed, now);
   // Streams that could be resumed would hold the engine up for seconds.
   const bool only_these = Unrepeatable(step) >= Running(step);
-  const bool short_runs = only_these && finish <= options_.expected_finish;
-  return time_left && short_runs ? ReloadMode::kFinishRuns : ReloadMode::kContinueRuns;
+  const bool short_runs = only_these && finish <= options_.max_expected_finish;
+  return time_left && short_runs ? ReloadMode::kFinishRequests : ReloadMode::kContinueRequests;
 }
 
 std::optional<TimePoint> RolloutPace::BoundOf(const RolloutStep& step, TimePoint now) const {
   const auto naming =
       state_.named_weights().OutdatedBy(step.model, step.engine->weights.at(step.model));
   if (!naming) return std::nullopt;
-  if (naming->assumed && now - started_ < options_.unknown_namings) return std::nullopt;
+  if (naming->assumed && now - started_ < options_.assumed_age_grace) return std::nullopt;
   return naming->at + state_.limits().older_weights;
 }
 
--- a/libs/control/src/rollout_plan.cc
+++ b/libs/control/src/rollout_plan.cc
@@ -33,26 +33,27 @@
   return steps;
 }
 
-std::uint32_t UsualLoadsAtOnce(const BackendDirectory& directory, const ServiceId& service,
-                               std::uint32_t engines_for_each_load) {
+std::uint32_t DefaultLoadConcurrency(const BackendDirectory& directory, const ServiceId& service,
+                                     std::uint32_t engines_per_load) {
   const auto engines = std::ranges::count_if(
       directory.all(), [&](const auto& entry) { return entry.second->entry.service == service; });
   const auto rounded_up =
-      (static_cast<std::uint32_t>(engines) + engines_for_each_load - 1) / engines_for_each_load;
+      (static_cast<std::uint32_t>(engines) + engines_per_load - 1) / engines_per_load;
   return std::max(rounded_up, 1U);
 }
 
-std::uint32_t LoadsAtOnce(std::uint32_t usual, std::vector<Duration> time_left, Duration load) {
+std::uint32_t RequiredLoadConcurrency(std::uint32_t usual, std::vector<Duration> time_left,
+                                      Duration load) {
   std::ranges::sort(time_left);
-  std::uint32_t at_once = usual;
+  std::uint32_t concurrency = usual;
   std::uint32_t engines = 0;
   for (const Duration left : time_left) {
     ++engines;
     const auto turns = std::max<std::int64_t>(left / load, 1);
     const auto rounded_up = (engines + turns - 1) / turns;
-    at_once = std::max(at_once, static_cast<std::uint32_t>(rounded_up));
+    concurrency = std::max(concurrency, static_cast<std::uint32_t>(rounded_up));
   }
-  return at_once;
+  return concurrency;
 }
 
 }  // namespace ridgehold
--- a/libs/control/src/state_store.cc
+++ b/libs/control/src/state_store.cc
@@ -2,25 +2,25 @@
 
 namespace ridgehold {
 
-std::string_view NameOf(StoreFault fault) {
+std::string_view NameOf(StoreError fault) {
   switch (fault) {
-    case StoreFault::kNotSent:
+    case StoreError::kNotSent:
       return "not_sent";
-    case StoreFault::kUnavailable:
+    case StoreError::kUnavailable:
       return "unavailable";
-    case StoreFault::kTooManyCalls:
+    case StoreError::kRateLimited:
       return "too_many_calls";
-    case StoreFault::kNoAnswer:
+    case StoreError::kNoAnswer:
       return "no_answer";
-    case StoreFault::kHistoryGone:
+    case StoreError::kCompacted:
       return "history_gone";
-    case StoreFault::kConditionFailed:
+    case StoreError::kConditionFailed:
       return "condition_failed";
-    case StoreFault::kNotFound:
+    case StoreError::kNotFound:
       return "not_found";
-    case StoreFault::kRejected:
+    case StoreError::kRejected:
       return "rejected";
-    case StoreFault::kMalformed:
+    case StoreError::kMalformed:
       return "malformed";
   }
   return "unknown";
--- a/libs/control/src/fact_sink.cc
+++ b/libs/control/src/store_item_applier.cc
@@ -1,9 +1,9 @@
-#include "control/fact_sink.h"
+#include "control/store_item_applier.h"
 
 #include <chrono>
 #include <set>
 
-#include "control/quarantine_records.h"
+#include "control/quarantine_writer.h"
 #include "log/duration_text.h"
 #include "log/log.h"
 
@@ -14,13 +14,13 @@
 
 }  // namespace
 
-void FactSink::Take(const StoreItem& item, StoredFact fact, const Writing& writing) {
+void StoreItemApplier::Take(const StoreItem& item, DecodedItem fact, const Writing& writing) {
   if (auto* parts = std::get_if<RoutingParts>(&fact)) return TakeConfig(item, std::move(*parts));
-  if (const auto* order = std::get_if<WeightsOrder>(&fact)) return TakeWeights(*order, writing);
+  if (const auto* order = std::get_if<DesiredWeights>(&fact)) return TakeWeights(*order, writing);
   if (const auto* entry = std::get_if<BackendEntry>(&fact)) TakeBackend(item, *entry);
 }
 
-void FactSink::TakeConfig(const StoreItem& item, RoutingParts parts) {
+void StoreItemApplier::TakeConfig(const StoreItem& item, RoutingParts parts) {
   const std::string version = std::to_string(parts.version.value());
   ValueOr(
       [&]() -> Result<void> {
@@ -39,7 +39,7 @@
       [&](const Failure& failure) { Reject(item, failure); });
 }
 
-void FactSink::TakeWeights(const WeightsOrder& order, const Writing& writing) {
+void StoreItemApplier::TakeWeights(const DesiredWeights& order, const Writing& writing) {
   NamedWeights& named = state_.named_weights();
   if (!named.Take(order.model, order.number, writing.at, writing.assumed)) return;
   const auto age = std::chrono::duration_cast<Duration>(Clock::now() - writing.at);
@@ -50,7 +50,7 @@
        {"age_is", writing.assumed ? "assumed" : "known"}});
 }
 
-void FactSink::TakeBackend(const StoreItem& item, const BackendEntry& entry) {
+void StoreItemApplier::TakeBackend(const StoreItem& item, const BackendEntry& entry) {
   const BackendPtr known = state_.directory().Find(entry.id);
   const bool is_new = known == nullptr;
   const bool drains = entry.draining && (is_new || !known->entry.draining);
@@ -71,37 +71,37 @@
        {"store_revision", RevisionText(item)}});
 }
 
-void FactSink::TakeOwn(const StoreItem& item) {
+void StoreItemApplier::TakeOwn(const StoreItem& item) {
   records_.Put(item);
   CountMembers();
   TakeQuarantine(item);
 }
 
-void FactSink::TakeQuarantine(const StoreItem& item) {
-  const auto request = QuarantinedAt(item.key);
+void StoreItemApplier::TakeQuarantine(const StoreItem& item) {
+  const auto request = ParseQuarantineKey(item.key);
   const auto until = DecodeQuarantine(item.value);
   if (!request || !until) return;
   const auto left = std::chrono::duration_cast<Duration>(*until - std::chrono::system_clock::now());
   state_.poison().TakeStored(*request, left, Clock::now());
 }
 
-void FactSink::RemoveOwn(const std::string& key) {
+void StoreItemApplier::RemoveOwn(const std::string& key) {
   records_.Remove(key);
   CountMembers();
 }
 
-void FactSink::CountMembers() {
+void StoreItemApplier::CountMembers() {
   const auto members = std::max(static_cast<std::uint32_t>(records_.Members().size()), 1U);
   if (members == state_.gateways()) return;
   state_.SetGateways(members, Clock::now());
   Log(LogLevel::kInfo, "gateways alive", {{"count", std::to_string(members)}});
 }
 
-void FactSink::RejectBackend(const BackendId& id, TimePoint now) {
+void StoreItemApplier::RejectBackend(const BackendId& id, TimePoint now) {
   RemoveBackend(id, Duration::zero(), now);
 }
 
-void FactSink::RemoveBackend(const BackendId& id, Duration grace, TimePoint now) {
+void StoreItemApplier::RemoveBackend(const BackendId& id, Duration grace, TimePoint now) {
   const BackendPtr known = state_.directory().Find(id);
   if (!known) return;
   state_.directory().Remove(id, grace, now);
@@ -112,15 +112,15 @@
        {"used_on_for_ms", MillisecondsText(grace)}});
 }
 
-void FactSink::ReplaceBackends(const std::vector<BackendEntry>& entries, Duration grace,
-                               TimePoint now) {
+void StoreItemApplier::ReplaceBackends(const std::vector<BackendEntry>& entries, Duration grace,
+                                       TimePoint now) {
   state_.directory().Replace(entries, grace, now);
   Log(LogLevel::kInfo, "backends listed",
       {{"count", std::to_string(entries.size())},
        {"missing_used_on_for_ms", MillisecondsText(grace)}});
 }
 
-bool FactSink::MayLogRejection(TimePoint now) {
+bool StoreItemApplier::MayLogRejection(TimePoint now) {
   if (now - rejections_since_ >= kRejectionWindow) {
     rejections_since_ = now;
     rejection_lines_ = 0;
@@ -128,7 +128,7 @@
   return rejection_lines_++ < kMostRejectionLines;
 }
 
-void FactSink::Reject(const StoreItem& item, const Failure& failure) {
+void StoreItemApplier::Reject(const StoreItem& item, const Failure& failure) {
   state_.metrics().GetCounter("ridgehold_malformed_facts").Add();
   if (!MayLogRejection(Clock::now())) return;
   Log(LogLevel::kWarn, "malformed value in the store",
--- a/libs/control/test/own_records-test.cc
+++ b/libs/control/test/instance_records-test.cc
@@ -1,4 +1,4 @@
-#include "control/own_records.h"
+#include "control/instance_records.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -6,7 +6,7 @@
 
 namespace {
 
-void PutMember(OwnRecords& records, const std::string& name, const std::string& zone) {
+void PutMember(InstanceRecords& records, const std::string& name, const std::string& zone) {
   records.Put({kMemberPrefix + name, EncodeMember({"10.0.0." + name, ZoneId(zone)}),
                StoreRevision(1), StoreLeaseId(1)});
 }
@@ -16,33 +16,33 @@
 BOOST_AUTO_TEST_SUITE(own_records)
 
 BOOST_AUTO_TEST_CASE(members_take_turns_in_the_order_of_their_names) {
-  OwnRecords records;
+  InstanceRecords records;
   for (const char* name : {"3", "1", "2"}) PutMember(records, name, "a");
   records.Put({kRolloutHolderKey, "1", StoreRevision(2), StoreLeaseId(2)});
   const std::string prefix = kMemberPrefix;
-  BOOST_TEST(records.MembersBefore(prefix + "1") == 0);
-  BOOST_TEST(records.MembersBefore(prefix + "3") == 2);
+  BOOST_TEST(records.MemberRank(prefix + "1") == 0);
+  BOOST_TEST(records.MemberRank(prefix + "3") == 2);
   // One whose own key is not there yet comes where its name puts it.
-  BOOST_TEST(records.MembersBefore(prefix + "4") == 3);
+  BOOST_TEST(records.MemberRank(prefix + "4") == 3);
   records.Remove(prefix + "1");
-  BOOST_TEST(records.MembersBefore(prefix + "3") == 1);
+  BOOST_TEST(records.MemberRank(prefix + "3") == 1);
 }
 
 BOOST_AUTO_TEST_CASE(first_member_of_a_zone_is_its_relay) {
-  OwnRecords records;
+  InstanceRecords records;
   PutMember(records, "1", "a");
   PutMember(records, "2", "b");
   PutMember(records, "3", "b");
-  BOOST_TEST(records.RelayOf(ZoneId("b"))->address == "10.0.0.2");
-  BOOST_TEST(!records.RelayOf(ZoneId("c")).has_value());
+  BOOST_TEST(records.ZoneRelay(ZoneId("b"))->address == "10.0.0.2");
+  BOOST_TEST(!records.ZoneRelay(ZoneId("c")).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(one_gateway_asks_the_store_for_all) {
-  OwnRecords records;
+  InstanceRecords records;
   for (const char* name : {"1", "2", "3", "4"}) PutMember(records, name, name[0] < '3' ? "a" : "b");
   const auto relay_for = [&](const std::string& name, const std::string& zone,
                              const std::set<std::string>& silent = {}) {
-    const auto relay = records.RelayFor({"10.0.0." + name, ZoneId(zone)}, silent);
+    const auto relay = records.UpstreamRelay({"10.0.0." + name, ZoneId(zone)}, silent);
     return relay ? relay->address : "";
   };
   BOOST_TEST(relay_for("1", "a") == "");
--- a/libs/control/test/held_key-test.cc
+++ b/libs/control/test/leased_key-test.cc
@@ -1,4 +1,4 @@
-#include "control/held_key.h"
+#include "control/leased_key.h"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
@@ -20,7 +20,7 @@
 constexpr char kKey[] = "duty";
 
 struct Holder {
-  Holder(MemoryTable& table, net::any_io_executor executor, HeldKey<MemoryStore>::Options options,
+  Holder(MemoryTable& table, net::any_io_executor executor, LeasedKey<MemoryStore>::Options options,
          std::uint32_t seed)
       : store(table, seed), key(store, executor, std::move(options), [&table] {
           return !table.items().contains(kKey);
@@ -29,17 +29,17 @@
   Holder(MemoryTable& table, net::any_io_executor executor, std::uint32_t seed)
       : Holder(table, executor, Options(seed), seed) {}
 
-  static HeldKey<MemoryStore>::Options Options(std::uint32_t seed) {
-    HeldKey<MemoryStore>::Options options;
+  static LeasedKey<MemoryStore>::Options Options(std::uint32_t seed) {
+    LeasedKey<MemoryStore>::Options options;
     options.key = kKey;
     options.value = "holder " + std::to_string(seed);
     options.ttl = 200ms;
-    options.look = 10ms;
+    options.poll_interval = 10ms;
     return options;
   }
 
   MemoryStore store;
-  HeldKey<MemoryStore> key;
+  LeasedKey<MemoryStore> key;
 };
 
 struct Fixture {
@@ -54,14 +54,14 @@
     }
   }
 
-  Holder& AddWith(HeldKey<MemoryStore>::Options options) {
+  Holder& AddWith(LeasedKey<MemoryStore>::Options options) {
     holders.push_back(std::make_unique<Holder>(table, io.get_executor(), std::move(options), 0));
     net::co_spawn(io, holders.back()->key.Run(), net::detached);
     return *holders.back();
   }
 
   /// As good as killed (nothing of it reaches the store), and started again.
-  Holder& Restart(Holder& former, HeldKey<MemoryStore>::Options options) {
+  Holder& Restart(Holder& former, LeasedKey<MemoryStore>::Options options) {
     former.store.faults.down = true;
     return AddWith(std::move(options));
   }
@@ -70,8 +70,8 @@
 
   std::size_t CountHeld() const {
     const TimePoint now = Clock::now();
-    return static_cast<std::size_t>(
-        std::ranges::count_if(holders, [&](const auto& holder) { return holder->key.Held(now); }));
+    return static_cast<std::size_t>(std::ranges::count_if(
+        holders, [&](const auto& holder) { return holder->key.IsHeld(now); }));
   }
 };
 
@@ -92,7 +92,7 @@
 BOOST_AUTO_TEST_CASE(cut_off_holder_stops_before_another_begins) {
   Add(2);
   io.run_for(100ms);
-  const std::size_t first = holders[0]->key.Held(Clock::now()) ? 0 : 1;
+  const std::size_t first = holders[0]->key.IsHeld(Clock::now()) ? 0 : 1;
   holders[first]->store.faults.down = true;
   bool gap_seen = false;
   for (int i = 0; i < 100; ++i) {
@@ -101,17 +101,17 @@
     gap_seen = gap_seen || CountHeld() == 0;
   }
   BOOST_TEST(gap_seen);
-  BOOST_TEST(holders[1 - first]->key.Held(Clock::now()));
-  BOOST_TEST(holders[1 - first]->key.fencing() > holders[first]->key.fencing());
+  BOOST_TEST(holders[1 - first]->key.IsHeld(Clock::now()));
+  BOOST_TEST(holders[1 - first]->key.fencing_token() > holders[first]->key.fencing_token());
 }
 
 BOOST_AUTO_TEST_CASE(paused_holder_does_not_act_on_a_lapsed_lease) {
   Add(1);
   io.run_for(100ms);
-  BOOST_TEST(holders[0]->key.Held(Clock::now()));
+  BOOST_TEST(holders[0]->key.IsHeld(Clock::now()));
   // The process stands still, as a frozen instance does.
   std::this_thread::sleep_for(250ms);
-  BOOST_TEST(!holders[0]->key.Held(Clock::now()));
+  BOOST_TEST(!holders[0]->key.IsHeld(Clock::now()));
 }
 
 BOOST_AUTO_TEST_CASE(released_key_is_free_at_once) {
@@ -120,7 +120,7 @@
   net::co_spawn(io, holders[0]->key.Release(), net::detached);
   io.run_for(20ms);
   BOOST_TEST(!table.items().contains(kKey));
-  BOOST_TEST(!holders[0]->key.Held(Clock::now()));
+  BOOST_TEST(!holders[0]->key.IsHeld(Clock::now()));
 }
 
 BOOST_AUTO_TEST_CASE(write_whose_answer_was_lost_leaves_no_key_behind) {
@@ -148,10 +148,10 @@
     io.run_for(5ms);
     BOOST_REQUIRE(CountHeld() <= 1);
     for (const auto& holder : holders) {
-      if (!holder->key.Held(Clock::now())) continue;
-      BOOST_REQUIRE(holder->key.fencing() >= last_fencing);
-      if (holder->key.fencing() > last_fencing) ++holdings;
-      last_fencing = holder->key.fencing();
+      if (!holder->key.IsHeld(Clock::now())) continue;
+      BOOST_REQUIRE(holder->key.fencing_token() >= last_fencing);
+      if (holder->key.fencing_token() > last_fencing) ++holdings;
+      last_fencing = holder->key.fencing_token();
     }
   }
   BOOST_TEST(holdings > 0);
@@ -163,14 +163,14 @@
   Add(1);
   io.run_for(50ms);
   BOOST_REQUIRE(CountHeld() == 1);
-  const std::uint64_t former = holders[0]->key.fencing();
+  const std::uint64_t former = holders[0]->key.fencing_token();
   holders[0]->store.faults.down = true;  // as good as killed: nothing of it reaches the store
   Holder restarted(table, io.get_executor(), 0);
   net::co_spawn(io, restarted.key.Run(), net::detached);
   io.run_for(60ms);
-  BOOST_TEST(restarted.key.Held(Clock::now()));
-  BOOST_TEST(restarted.key.fencing() > former);
-  BOOST_TEST(!holders[0]->key.Held(Clock::now() + 200ms));
+  BOOST_TEST(restarted.key.IsHeld(Clock::now()));
+  BOOST_TEST(restarted.key.fencing_token() > former);
+  BOOST_TEST(!holders[0]->key.IsHeld(Clock::now() + 200ms));
 }
 
 BOOST_AUTO_TEST_CASE(key_of_another_holder_is_not_taken_over) {
@@ -180,22 +180,22 @@
   net::co_spawn(io, other.key.Run(), net::detached);
   io.run_for(60ms);
   BOOST_TEST(CountHeld() == 1);
-  BOOST_TEST(!other.key.Held(Clock::now()));
+  BOOST_TEST(!other.key.IsHeld(Clock::now()));
 }
 
 // Protects the former holder's time: its last order may be younger than the separation.
 BOOST_AUTO_TEST_CASE(key_taken_back_from_a_process_that_had_not_acted_waits_the_separation) {
   auto options = Holder::Options(0);
-  options.separation = 400ms;
+  options.handover_delay = 400ms;
   Holder& former = AddWith(options);
   io.run_for(100ms);
-  BOOST_REQUIRE(former.key.Held(Clock::now()));
+  BOOST_REQUIRE(former.key.IsHeld(Clock::now()));
   BOOST_REQUIRE(!former.key.MayAct(Clock::now()));
   const TimePoint begun = Clock::now();
   Holder& restarted = Restart(former, options);
   io.run_for(100ms);
-  BOOST_REQUIRE(restarted.key.Held(Clock::now()));
-  BOOST_TEST((restarted.key.acts_from() >= begun + 400ms));
+  BOOST_REQUIRE(restarted.key.IsHeld(Clock::now()));
+  BOOST_TEST((restarted.key.active_from() >= begun + 400ms));
   BOOST_TEST(!restarted.key.MayAct(Clock::now()));
   io.run_for(400ms);
   BOOST_TEST(restarted.key.MayAct(Clock::now()));
@@ -204,10 +204,10 @@
 // Protects the meaning of the mark: under it the separation from the holder before is over.
 BOOST_AUTO_TEST_CASE(key_is_marked_as_acting_only_once_its_holder_may_act) {
   auto options = Holder::Options(0);
-  options.separation = 300ms;
+  options.handover_delay = 300ms;
   Holder& holder = AddWith(options);
   io.run_for(50ms);
-  BOOST_REQUIRE(holder.key.Held(Clock::now()));
+  BOOST_REQUIRE(holder.key.IsHeld(Clock::now()));
   for (int i = 0; i < 40; ++i) {
     BOOST_TEST((!MarkedActing() || holder.key.MayAct(Clock::now())));
     io.run_for(10ms);
@@ -218,7 +218,7 @@
 // Protects the rollout's ten seconds: a holder that had acted goes on after its restart.
 BOOST_AUTO_TEST_CASE(key_taken_back_from_a_process_that_had_acted_acts_at_once) {
   auto options = Holder::Options(0);
-  options.separation = 400ms;
+  options.handover_delay = 400ms;
   Holder& former = AddWith(options);
   io.run_for(550ms);
   BOOST_REQUIRE(former.key.MayAct(Clock::now()));
@@ -226,7 +226,7 @@
   Holder& restarted = Restart(former, options);
   io.run_for(100ms);
   BOOST_TEST(restarted.key.MayAct(Clock::now()));
-  BOOST_TEST(restarted.key.fencing() > former.key.fencing());
+  BOOST_TEST(restarted.key.fencing_token() > former.key.fencing_token());
 }
 
 // Protects the duty from short outages: the lease lives on, so the key stays held.
@@ -235,19 +235,19 @@
   options.ttl = 1s;  // renewed each 250 ms
   Holder& holder = AddWith(options);
   io.run_for(50ms);
-  BOOST_REQUIRE(holder.key.Held(Clock::now()));
-  const std::uint64_t fencing = holder.key.fencing();
-  const TimePoint acts_from = holder.key.acts_from();
+  BOOST_REQUIRE(holder.key.IsHeld(Clock::now()));
+  const std::uint64_t fencing = holder.key.fencing_token();
+  const TimePoint active_from = holder.key.active_from();
   holder.store.faults.down = true;
   io.run_for(350ms);
-  BOOST_TEST(holder.key.Held(Clock::now()));
+  BOOST_TEST(holder.key.IsHeld(Clock::now()));
   holder.store.faults.down = false;
   io.run_for(300ms);
-  BOOST_TEST(holder.key.Held(Clock::now()));
+  BOOST_TEST(holder.key.IsHeld(Clock::now()));
   io.run_for(600ms);  // past the end of the lease as it was before the outage
-  BOOST_TEST(holder.key.Held(Clock::now()));
-  BOOST_TEST(holder.key.fencing() == fencing);
-  BOOST_TEST((holder.key.acts_from() == acts_from));
+  BOOST_TEST(holder.key.IsHeld(Clock::now()));
+  BOOST_TEST(holder.key.fencing_token() == fencing);
+  BOOST_TEST((holder.key.active_from() == active_from));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/control/test/memory_store.h
+++ b/libs/control/test/memory_store.h
@@ -89,11 +89,11 @@
     for (const StoreCondition& condition : transaction.conditions) {
       const auto found = items_.find(condition.key);
       const StoreRevision now = found == items_.end() ? StoreRevision(0) : found->second.revision;
-      if (now != condition.revision) return StoreFault::kConditionFailed;
+      if (now != condition.revision) return StoreError::kConditionFailed;
     }
     for (const StorePut& put : transaction.puts) {
       if (put.lease.value() != 0 && !leases_.contains(put.lease.value())) {
-        return StoreFault::kNotFound;
+        return StoreError::kNotFound;
       }
     }
     for (const StorePut& put : transaction.puts) Put(put.key, put.value, put.lease.value());
@@ -142,7 +142,7 @@
 
   net::awaitable<StoreResult<StorePage>> List(std::string /*prefix*/, std::string /*after*/) {
     co_await Pause(std::chrono::milliseconds(1));
-    if (faults.down) co_return StoreFault::kUnavailable;
+    if (faults.down) co_return StoreError::kUnavailable;
     StorePage page;
     for (const auto& [key, item] : table_.items()) page.items.push_back(item);
     page.revision = StoreRevision(table_.revision());
@@ -150,18 +150,18 @@
     co_return page;
   }
 
-  net::awaitable<StoreResult<WatchAnswer>> Watch(std::string /*prefix*/, StoreRevision after,
+  net::awaitable<StoreResult<WatchResult>> Watch(std::string /*prefix*/, StoreRevision after,
                                                  std::chrono::milliseconds wait) {
     ++watches;
     const TimePoint until = Clock::now() + wait;
     for (;;) {
       co_await Pause(std::chrono::milliseconds(1));
-      if (faults.down) co_return StoreFault::kUnavailable;
+      if (faults.down) co_return StoreError::kUnavailable;
       const auto events = table_.After(after);
-      if (!events) co_return StoreFault::kHistoryGone;
+      if (!events) co_return StoreError::kCompacted;
       const bool late = faults.late_reads > std::chrono::milliseconds::zero();
       if (events->empty() && !late && Clock::now() < until) continue;
-      WatchAnswer answer;
+      WatchResult answer;
       answer.events = *events;
       answer.revision = StoreRevision(table_.revision());
       co_await Pause(faults.late_reads);
@@ -171,39 +171,39 @@
 
   net::awaitable<StoreResult<StoreRevision>> Commit(StoreTransaction transaction) {
     co_await Pause(std::chrono::milliseconds(1));
-    if (faults.down) co_return StoreFault::kUnavailable;
+    if (faults.down) co_return StoreError::kUnavailable;
     if (Chance(faults.late_writes)) {
       co_await Pause(faults.late_by);
       table_.Apply(transaction);
-      co_return StoreFault::kNoAnswer;
+      co_return StoreError::kNoAnswer;
     }
     const StoreResult<StoreRevision> result = table_.Apply(transaction);
-    if (Chance(faults.lost_answers)) co_return StoreFault::kNoAnswer;
+    if (Chance(faults.lost_answers)) co_return StoreError::kNoAnswer;
     co_return result;
   }
 
-  net::awaitable<StoreResult<GrantedLease>> GrantLease(std::chrono::milliseconds ttl) {
+  net::awaitable<StoreResult<LeaseGrant>> GrantLease(std::chrono::milliseconds ttl) {
     co_await Pause(std::chrono::milliseconds(1));
-    if (faults.down) co_return StoreFault::kUnavailable;
-    const GrantedLease lease{StoreLeaseId(table_.Grant(ttl)), ttl};
-    if (Chance(faults.lost_answers)) co_return StoreFault::kNoAnswer;
+    if (faults.down) co_return StoreError::kUnavailable;
+    const LeaseGrant lease{StoreLeaseId(table_.Grant(ttl)), ttl};
+    if (Chance(faults.lost_answers)) co_return StoreError::kNoAnswer;
     co_return lease;
   }
 
-  net::awaitable<StoreResult<GrantedLease>> RenewLease(StoreLeaseId lease) {
+  net::awaitable<StoreResult<LeaseGrant>> RenewLease(StoreLeaseId lease) {
     co_await Pause(std::chrono::milliseconds(1));
-    if (faults.down) co_return StoreFault::kUnavailable;
+    if (faults.down) co_return StoreError::kUnavailable;
     const auto ttl = table_.Renew(lease.value());
-    if (Chance(faults.lost_answers)) co_return StoreFault::kNoAnswer;
-    if (!ttl) co_return StoreFault::kNotFound;
-    co_return GrantedLease{lease, *ttl};
+    if (Chance(faults.lost_answers)) co_return StoreError::kNoAnswer;
+    if (!ttl) co_return StoreError::kNotFound;
+    co_return LeaseGrant{lease, *ttl};
   }
 
-  net::awaitable<StoreResult<StoreLeaseId>> EndLease(StoreLeaseId lease) {
+  net::awaitable<StoreResult<StoreLeaseId>> RevokeLease(StoreLeaseId lease) {
     co_await Pause(std::chrono::milliseconds(1));
-    if (faults.down) co_return StoreFault::kUnavailable;
+    if (faults.down) co_return StoreError::kUnavailable;
     table_.End(lease.value());
-    if (Chance(faults.lost_answers)) co_return StoreFault::kNoAnswer;
+    if (Chance(faults.lost_answers)) co_return StoreError::kNoAnswer;
     co_return lease;
   }
 
--- a/libs/control/test/quarantine_records-test.cc
+++ b/libs/control/test/quarantine_writer-test.cc
@@ -1,4 +1,4 @@
-#include "control/quarantine_records.h"
+#include "control/quarantine_writer.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -26,12 +26,12 @@
     net::co_spawn(table.executor(), keeper.Run(), net::detached);
   }
 
-  static QuarantineRecords<MemoryStore>::Options Options(const std::string& name) {
-    QuarantineRecords<MemoryStore>::Options options;
+  static QuarantineWriter<MemoryStore>::Options Options(const std::string& name) {
+    QuarantineWriter<MemoryStore>::Options options;
     options.self = DaemonId(name);
-    options.look = 5ms;
-    options.first_turn = 100ms;
-    options.turn = 200ms;
+    options.poll_interval = 5ms;
+    options.takeover_delay = 100ms;
+    options.delay_per_rank = 200ms;
     return options;
   }
 
@@ -46,9 +46,9 @@
 
   Metrics metrics;
   PoisonGuard guard{metrics, PoisonRule{}};
-  OwnRecords records;
+  InstanceRecords records;
   MemoryStore store;
-  QuarantineRecords<MemoryStore> keeper;
+  QuarantineWriter<MemoryStore> keeper;
 };
 
 struct Fixture {
@@ -114,11 +114,11 @@
 }
 
 BOOST_AUTO_TEST_CASE(keys_and_values_that_are_none_are_told) {
-  BOOST_TEST(!QuarantinedAt("ridgehold/members/a").has_value());
-  BOOST_TEST(!QuarantinedAt("ridgehold/quarantine/").has_value());
-  BOOST_TEST(!QuarantinedAt("ridgehold/quarantine/xyz").has_value());
-  BOOST_REQUIRE(QuarantinedAt(kKey).has_value());
-  BOOST_TEST(*QuarantinedAt(kKey) == kRequest);
+  BOOST_TEST(!ParseQuarantineKey("ridgehold/members/a").has_value());
+  BOOST_TEST(!ParseQuarantineKey("ridgehold/quarantine/").has_value());
+  BOOST_TEST(!ParseQuarantineKey("ridgehold/quarantine/xyz").has_value());
+  BOOST_REQUIRE(ParseQuarantineKey(kKey).has_value());
+  BOOST_TEST(*ParseQuarantineKey(kKey) == kRequest);
   BOOST_TEST(!DecodeQuarantine("").has_value());
   BOOST_TEST(!DecodeQuarantine("a b").has_value());
 }
--- a/libs/control/test/rollout-test.cc
+++ b/libs/control/test/rollout_controller-test.cc
@@ -1,4 +1,4 @@
-#include "control/rollout.h"
+#include "control/rollout_controller.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -30,7 +30,7 @@
     std::uint64_t orders = 0;
     std::optional<WeightsNumber> loading;
     TimePoint loaded_at{};
-    std::vector<WeightsLoad> accepted;
+    std::vector<LoadOrder> accepted;
     std::optional<TimePoint> first_order;
   };
 
@@ -42,7 +42,7 @@
   std::size_t most_loading = 0;
   std::vector<TimePoint> ordered_at;
 
-  net::awaitable<std::optional<EngineReport>> Report(const BackendEntry& entry) {
+  net::awaitable<std::optional<EngineStatus>> FetchStatus(const BackendEntry& entry) {
     Engine& engine = engines[entry.id];
     if (engine.silent) {
       Timer timer(co_await net::this_coro::executor, call_limit);
@@ -51,15 +51,15 @@
       co_return std::nullopt;
     }
     Settle(engine);
-    EngineReport report;
+    EngineStatus report;
     report.weights[kModel] = engine.weights;
     report.busy = engine.loading.has_value();
     report.orders_taken = engine.orders;
     co_return report;
   }
 
-  net::awaitable<OrderOutcome> Load(const BackendEntry& entry, const WeightsLoad& load,
-                                    const MayOrder& may_order) {
+  net::awaitable<OrderOutcome> SendLoadOrder(const BackendEntry& entry, const LoadOrder& load,
+                                             const OrderPrecondition& may_order) {
     Engine& engine = engines[entry.id];
     if (engine.connecting > 0ms) {
       Timer timer(co_await net::this_coro::executor, engine.connecting);
@@ -76,7 +76,7 @@
     ++engine.orders;
     engine.loading = load.number;
     engine.loaded_at = Clock::now() + load_time;
-    if (load.mode == ReloadMode::kFinishRuns) engine.loaded_at += engine.runs_last;
+    if (load.mode == ReloadMode::kFinishRequests) engine.loaded_at += engine.runs_last;
     engine.accepted.push_back(load);
     most_loading = std::max(most_loading, CountLoading());
     const bool lost = static_cast<double>(engine.accepted.size() % 2) < lose_answers;
@@ -105,46 +105,47 @@
   MemoryTable table{io.get_executor()};
   MemoryStore store{table, 1};
   FakeEngines engines;
-  Rollout<FakeEngines, MemoryStore>::Options options = RolloutOptions();
-  std::unique_ptr<HeldKey<MemoryStore>> duty;
-  std::unique_ptr<Rollout<FakeEngines, MemoryStore>> rollout;
+  RolloutController<FakeEngines, MemoryStore>::Options options = RolloutOptions();
+  std::unique_ptr<LeasedKey<MemoryStore>> duty;
+  std::unique_ptr<RolloutController<FakeEngines, MemoryStore>> rollout;
   TimePoint started{};
 
   void Start(int count, std::chrono::milliseconds separation = 0ms) {
     for (int i = 0; i < count; ++i) AddEngine("e" + std::to_string(i));
-    duty = std::make_unique<HeldKey<MemoryStore>>(store, io.get_executor(), KeyOptions(separation),
-                                                  [] { return true; });
-    rollout = std::make_unique<Rollout<FakeEngines, MemoryStore>>(engines, *duty, state, options);
+    duty = std::make_unique<LeasedKey<MemoryStore>>(store, io.get_executor(),
+                                                    KeyOptions(separation), [] { return true; });
+    rollout = std::make_unique<RolloutController<FakeEngines, MemoryStore>>(engines, *duty, state,
+                                                                            options);
     started = Clock::now();
     net::co_spawn(io, duty->Run(), net::detached);
     net::co_spawn(io, rollout->Run(), net::detached);
   }
 
-  static HeldKey<MemoryStore>::Options KeyOptions(std::chrono::milliseconds separation) {
-    HeldKey<MemoryStore>::Options key;
-    key.separation = separation;
+  static LeasedKey<MemoryStore>::Options KeyOptions(std::chrono::milliseconds separation) {
+    LeasedKey<MemoryStore>::Options key;
+    key.handover_delay = separation;
     key.key = "duty";
     key.value = "d";
     key.ttl = 300ms;
-    key.look = 10ms;
+    key.poll_interval = 10ms;
     return key;
   }
 
-  static Rollout<FakeEngines, MemoryStore>::Options RolloutOptions() {
-    Rollout<FakeEngines, MemoryStore>::Options options;
+  static RolloutController<FakeEngines, MemoryStore>::Options RolloutOptions() {
+    RolloutController<FakeEngines, MemoryStore>::Options options;
     options.self = DaemonId("d");
-    options.look = 5ms;
-    options.poll = 10ms;
-    options.first_poll = 30ms;
-    options.load = 90ms;
-    options.reserve = 100ms;
-    options.expected_finish = 100ms;
-    options.longest_finish = 500ms;
-    options.prompt_report = 10ms;
-    options.silence = 100ms;
-    options.hold_spreads = 5ms;
-    options.longest_drain = 100ms;
-    options.patience = 5s;
+    options.poll_interval = 5ms;
+    options.load_poll_interval = 10ms;
+    options.first_load_poll = 30ms;
+    options.expected_load = 90ms;
+    options.deadline_margin = 100ms;
+    options.max_expected_finish = 100ms;
+    options.max_finish = 500ms;
+    options.prompt_status = 10ms;
+    options.unresponsive_backoff = 100ms;
+    options.hold_propagation = 5ms;
+    options.max_drain = 100ms;
+    options.load_timeout = 5s;
     return options;
   }
 
@@ -269,7 +270,7 @@
   Engine("e0").peers.unrepeatable = 0;
   io.run_for(200ms);
   BOOST_TEST(AllHave(2));
-  BOOST_TEST((engines.engines[BackendId("e0")].accepted[0].mode == ReloadMode::kBreakRuns));
+  BOOST_TEST((engines.engines[BackendId("e0")].accepted[0].mode == ReloadMode::kAbortRequests));
   BOOST_TEST((Engine("e0").hold_until <= Clock::now()));
 }
 
@@ -279,7 +280,7 @@
   Name(2);
   io.run_for(400ms);
   BOOST_TEST(AllHave(2));
-  BOOST_TEST((engines.engines[BackendId("e0")].accepted[0].mode == ReloadMode::kFinishRuns));
+  BOOST_TEST((engines.engines[BackendId("e0")].accepted[0].mode == ReloadMode::kFinishRequests));
 }
 
 // Incident: requests began on outdated weights past their bound, since engines still had
@@ -307,9 +308,10 @@
   rollout->Stop();
   io.run_for(50ms);
   MemoryStore restarted_store(table, 2);
-  HeldKey<MemoryStore> restarted_duty(restarted_store, io.get_executor(), KeyOptions(300ms),
-                                      [this] { return !table.items().contains("duty"); });
-  Rollout<FakeEngines, MemoryStore> restarted(engines, restarted_duty, state, RolloutOptions());
+  LeasedKey<MemoryStore> restarted_duty(restarted_store, io.get_executor(), KeyOptions(300ms),
+                                        [this] { return !table.items().contains("duty"); });
+  RolloutController<FakeEngines, MemoryStore> restarted(engines, restarted_duty, state,
+                                                        RolloutOptions());
   net::co_spawn(io, restarted_duty.Run(), net::detached);
   net::co_spawn(io, restarted.Run(), net::detached);
   // Nothing begins on the older weights once an engine has taken its order.
@@ -337,7 +339,7 @@
 // Protects the bound where little time is left: two of nine at a time would take till 0.8 s.
 BOOST_AUTO_TEST_CASE(more_engines_load_at_once_when_the_usual_pace_would_miss_the_bound) {
   engines.load_time = 200ms;
-  options.load = 230ms;
+  options.expected_load = 230ms;
   SetBound(700ms);
   Start(9);
   io.run_for(50ms);
@@ -378,7 +380,7 @@
 
 // Protects the bound from requests that do not end: an engine is emptied only while time is left.
 BOOST_AUTO_TEST_CASE(engine_that_does_not_empty_is_ordered_before_the_bound) {
-  options.longest_drain = 800ms;
+  options.max_drain = 800ms;
   SetBound(600ms);
   Start(1);
   Engine("e0").unrepeatable = 1;
@@ -391,22 +393,22 @@
 
 // Protects the time after a change of holders: engines are emptied during the separation.
 BOOST_AUTO_TEST_CASE(engine_is_empty_when_the_new_holder_may_order) {
-  options.longest_drain = 300ms;
+  options.max_drain = 300ms;
   Start(1, 500ms);
   Engine("e0").unrepeatable = 1;
   Name(2);
   io.run_for(50ms);
-  const TimePoint acts_from = duty->acts_from();
+  const TimePoint active_from = duty->active_from();
   io.run_for(950ms);
   BOOST_REQUIRE(!engines.ordered_at.empty());
-  BOOST_TEST((engines.ordered_at.front() >= acts_from));
-  CheckLiveOnesOrderedBy(acts_from + 200ms);
+  BOOST_TEST((engines.ordered_at.front() >= active_from));
+  CheckLiveOnesOrderedBy(active_from + 200ms);
 }
 
 // Protects an emptied engine from new requests for as long as it waits for its turn.
 BOOST_AUTO_TEST_CASE(engine_stays_held_while_it_waits_long_for_its_turn) {
   engines.load_time = 800ms;
-  options.hold = 200ms;
+  options.hold_duration = 200ms;
   Start(2);
   io.run_for(50ms);
   Name(2);
--- a/libs/control/test/state_follower-test.cc
+++ b/libs/control/test/state_follower-test.cc
@@ -16,24 +16,24 @@
 /// Keys `config/N`, `weights/N`, `backend/ID`; a value of `bad` cannot be read,
 /// a backend server's may be `draining`.
 struct TestCodec {
-  static Result<StoredFact> Decode(const StoreItem& item) {
+  static Result<DecodedItem> Decode(const StoreItem& item) {
     if (item.value == "bad") return Fail(ResultCode::kPlatformMalformed, "bad");
     if (item.key == "config") {
       RoutingParts parts;
       parts.version = ConfigVersion(std::stoull(item.value));
-      return StoredFact(parts);
+      return DecodedItem(parts);
     }
     if (item.key == "weights") {
-      return StoredFact(WeightsOrder{ModelId("m"), WeightsNumber(std::stoull(item.value))});
+      return DecodedItem(DesiredWeights{ModelId("m"), WeightsNumber(std::stoull(item.value))});
     }
     if (const auto id = BackendOf(item.key)) {
       BackendEntry entry;
       entry.id = *id;
       entry.service = ServiceId("s");
       entry.draining = item.value == "draining";
-      return StoredFact(entry);
+      return DecodedItem(entry);
     }
-    return StoredFact(IrrelevantFact{});
+    return DecodedItem(IgnoredItem{});
   }
 
   static std::optional<BackendId> BackendOf(std::string_view key) {
@@ -49,18 +49,18 @@
   net::io_context io;
   Metrics metrics;
   GatewayState state{io.get_executor(), ZoneId("a"), {}, {}, metrics};
-  OwnRecords records;
+  InstanceRecords records;
   MemoryTable table{io.get_executor()};
   MemoryStore store{table, 1};
   Follower::Options options;
   std::unique_ptr<Follower> follower;
-  std::chrono::milliseconds watch{100};
-  std::chrono::milliseconds gather{5};
+  std::chrono::milliseconds watch_timeout{100};
+  std::chrono::milliseconds batch_delay{5};
 
   void Start() {
-    options.watch = watch;
-    options.longest_pause = 50ms;
-    options.gather = gather;
+    options.watch_timeout = watch_timeout;
+    options.max_backoff = 50ms;
+    options.batch_delay = batch_delay;
     follower = std::make_unique<Follower>(store, state, records, options);
     net::co_spawn(io, follower->Run(), net::detached);
     io.run_for(50ms);
@@ -103,8 +103,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(many_changes_in_a_row_cost_few_calls_and_none_is_missed) {
-  gather = 150ms;
-  options.watch = 5s;
+  batch_delay = 150ms;
+  options.watch_timeout = 5s;
   table.Put("config", "1");
   Start();
   const int before = store.watches;
@@ -159,7 +159,7 @@
   table.Put("backend/b2", "x");
   Start();
   store.faults.down = true;
-  io.run_for(StoreContact::kAwayAfter + 200ms);
+  io.run_for(StoreConnectivity::kOutageThreshold + 200ms);
   table.Put("backend/b1", "bad");
   table.ForgetHistory();
   store.faults.down = false;
@@ -220,7 +220,7 @@
   table.Put("backend/b1", "x");
   Start();
   store.faults.down = true;
-  io.run_for(StoreContact::kAwayAfter + 200ms);
+  io.run_for(StoreConnectivity::kOutageThreshold + 200ms);
   table.Remove("backend/b1");
   store.faults.down = false;
   io.run_for(300ms);
@@ -264,12 +264,12 @@
   table.Put("ridgehold/members/d", "malformed");
   io.run_for(50ms);
   BOOST_TEST(state.gateways() == 3);
-  BOOST_TEST(records.RelayOf(ZoneId("z2"))->address == "127.0.0.3");
-  BOOST_TEST(!records.RelayOf(ZoneId("z3")).has_value());
+  BOOST_TEST(records.ZoneRelay(ZoneId("z2"))->address == "127.0.0.3");
+  BOOST_TEST(!records.ZoneRelay(ZoneId("z3")).has_value());
   table.Remove("ridgehold/members/b");
   io.run_for(50ms);
   BOOST_TEST(state.gateways() == 2);
-  BOOST_TEST(records.RelayOf(ZoneId("z2"))->address == "127.0.0.4");
+  BOOST_TEST(records.ZoneRelay(ZoneId("z2"))->address == "127.0.0.4");
 }
 
 BOOST_AUTO_TEST_CASE(another_gateway_can_follow_the_changes_it_has_heard_of) {
@@ -286,7 +286,7 @@
   BOOST_TEST(!follower->ChangesAfter(StoreRevision(0)).has_value());
 
   GatewayState other{io.get_executor(), ZoneId("a"), {}, {}, metrics};
-  OwnRecords other_records;
+  InstanceRecords other_records;
   Follower second(store, other, other_records, {});
   second.TakeCopy({{"config", "3", before, {}}}, before, Clock::now());
   second.TakeChanges(*changes, follower->revision(), Clock::now());
@@ -297,7 +297,7 @@
 
 BOOST_AUTO_TEST_CASE(follower_of_a_peer_leaves_the_store_alone) {
   options.follows_peer = [] { return true; };
-  options.peer_look = 5ms;
+  options.peer_poll_interval = 5ms;
   table.Put("config", "3");
   Start();
   BOOST_TEST(Config() == 3);
@@ -308,7 +308,7 @@
 
 // Bounds count from the writing, and news is late: here by the pause after other news.
 BOOST_AUTO_TEST_CASE(naming_counts_from_before_it_was_written) {
-  gather = 150ms;
+  batch_delay = 150ms;
   Start();
   table.Put("backend/b1", "x");
   io.run_for(50ms);
@@ -399,11 +399,11 @@
 BOOST_AUTO_TEST_CASE(failed_call_after_a_time_without_calls_is_no_outage) {
   bool follows = false;
   options.follows_peer = [&] { return follows; };
-  options.peer_look = 5ms;
+  options.peer_poll_interval = 5ms;
   table.Put("backend/b1", "x");
   Start();
   follows = true;
-  io.run_for(StoreContact::kAwayAfter + 200ms);
+  io.run_for(StoreConnectivity::kOutageThreshold + 200ms);
   follows = false;
   store.faults.down = true;
   io.run_for(60ms);
@@ -416,13 +416,13 @@
 BOOST_AUTO_TEST_CASE(failed_call_before_a_time_without_calls_is_no_outage) {
   bool follows = false;
   options.follows_peer = [&] { return follows; };
-  options.peer_look = 5ms;
+  options.peer_poll_interval = 5ms;
   table.Put("backend/b1", "x");
   Start();
   store.faults.down = true;
   io.run_for(60ms);
   follows = true;
-  io.run_for(StoreContact::kAwayAfter + 200ms);
+  io.run_for(StoreConnectivity::kOutageThreshold + 200ms);
   follows = false;
   store.faults.down = false;
   table.Remove("backend/b1");
@@ -445,7 +445,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(return_of_the_store_is_noticed_before_a_watch_has_passed) {
-  watch = 5s;
+  watch_timeout = 5s;
   Start();
   store.faults.down = true;
   io.run_for(60ms);
--- a/libs/entry/include/entry/entry_instance.h
+++ b/libs/entry/include/entry/entry_instance.h
@@ -13,9 +13,9 @@
 #include <set>
 #include <string>
 
-#include "control/held_key.h"
-#include "control/quarantine_records.h"
-#include "control/rollout.h"
+#include "control/leased_key.h"
+#include "control/quarantine_writer.h"
+#include "control/rollout_controller.h"
 #include "control/state_follower.h"
 #include "entry/admin_server.h"
 #include "entry/duty_turn.h"
@@ -38,7 +38,7 @@
 /// meaning of the store's keys, and control of engines.
 template <class Env>
 concept Environment = WireFormat<typename Env::Wire> && StateStore<typename Env::Store> &&
-    FactCodec<typename Env::Codec> && BackendControl<typename Env::Control>;
+    ItemDecoder<typename Env::Codec> && BackendControl<typename Env::Control>;
 
 /// Create, Start, then run the executor until `done` is called.
 template <Environment Env>
@@ -150,7 +150,7 @@
   }
 
   using Store = typename Env::Store;
-  using Duty = HeldKey<Store>;
+  using Duty = LeasedKey<Store>;
   using Follower = StateFollower<Store, typename Env::Codec>;
 
   static GatewayLimits LimitsOf(const EntrySettings& settings, const EntryTuning& tuning) {
@@ -186,7 +186,7 @@
     options.key = kMemberPrefix + settings_.daemon.value();
     options.value = EncodeMember({settings_.instance_address, settings_.zone});
     options.ttl = std::max(tuning_.member_ttl, settings_.least_lease_ttl);
-    options.renewals = tuning_.member_renewals;
+    options.renewals_per_ttl = tuning_.member_renewals;
     options.exclusive = false;
     return options;
   }
@@ -196,18 +196,18 @@
     options.key = kRolloutHolderKey;
     // The address tells an instance from a later one of the same name.
     options.value = settings_.daemon.value() + " " + settings_.instance_address;
-    options.separation = settings_.holder_separation;
+    options.handover_delay = settings_.holder_separation;
     options.ttl = std::max(tuning_.duty_ttl, settings_.least_lease_ttl);
     return options;
   }
 
-  typename Rollout<typename Env::Control, Store>::Options RolloutOptions() const {
-    typename Rollout<typename Env::Control, Store>::Options options;
+  typename RolloutController<typename Env::Control, Store>::Options RolloutOptions() const {
+    typename RolloutController<typename Env::Control, Store>::Options options;
     options.self = settings_.daemon;
-    options.engines_for_each_load = tuning_.engines_for_each_load;
-    options.spare_retries = tuning_.spare_retries;
-    options.observe_loads = tuning_.observe_loads;
-    options.shortest_drain = std::chrono::milliseconds{tuning_.shortest_drain_ms};
+    options.engines_per_load = tuning_.engines_for_each_load;
+    options.preserve_retry_budget = tuning_.spare_retries;
+    options.limit_by_measured_loads = tuning_.observe_loads;
+    options.min_drain = std::chrono::milliseconds{tuning_.shortest_drain_ms};
     return options;
   }
 
@@ -215,7 +215,7 @@
   bool MayApplyForDuty() {
     const bool free = !state_.shutting_down() && follower_.connected() &&
                       records_.Find(kRolloutHolderKey) == nullptr;
-    const std::size_t before = records_.MembersBefore(kMemberPrefix + settings_.daemon.value());
+    const std::size_t before = records_.MemberRank(kMemberPrefix + settings_.daemon.value());
     return duty_turn_.MayApply(free, before, Clock::now());
   }
 
@@ -262,8 +262,8 @@
     // Rounded up, so that nothing looks fresher than it is.
     copy.age += std::chrono::milliseconds(1);
     copy.grace = std::chrono::duration_cast<std::chrono::milliseconds>(
-        follower_.contact().SettlesIn(Clock::now()));
-    copy.store_lost = follower_.contact().failing();
+        follower_.connectivity().RemainingGrace(Clock::now()));
+    copy.store_lost = follower_.connectivity().failing();
     auto changes = follower_.ChangesAfter(StoreRevision(std::strtoull(query.c_str(), nullptr, 10)));
     copy.whole = !changes.has_value();
     if (changes) {
@@ -279,16 +279,17 @@
   typename Follower::Options FollowerOptions() {
     typename Follower::Options options;
     options.follows_peer = [this] { return FollowsRelay(); };
-    options.watch = tuning_.watch;
-    options.relay_patience = tuning_.relay_patience;
-    options.unknown_age = std::max(settings_.weights_limit - tuning_.unknown_weights_use,
+    options.watch_timeout = tuning_.watch;
+    options.relay_wait = tuning_.relay_patience;
+    options.assumed_age = std::max(settings_.weights_limit - tuning_.unknown_weights_use,
                                    std::chrono::milliseconds(0));
     return options;
   }
 
   /// The other instance that keeps this one current with the store.
   std::optional<std::string> Relay(const std::set<std::string>& passed_over) const {
-    const auto relay = records_.RelayFor({settings_.instance_address, settings_.zone}, passed_over);
+    const auto relay =
+        records_.UpstreamRelay({settings_.instance_address, settings_.zone}, passed_over);
     return relay ? std::optional(relay->address) : std::nullopt;
   }
 
@@ -337,7 +338,7 @@
   AdminPage QuarantinePage(const std::string& query) {
     const std::string prefix = "release=";
     if (query.starts_with(prefix)) {
-      const auto request = QuarantinedAt(kQuarantinePrefix + query.substr(prefix.size()));
+      const auto request = ParseQuarantineKey(kQuarantinePrefix + query.substr(prefix.size()));
       if (!request) return {http::status::bad_request, "text/plain", "not a fingerprint\n"};
       state_.poison().Release(*request, Clock::now());
     }
@@ -352,7 +353,7 @@
                      static_cast<double>(state_.poison().Quarantined(now).size()));
     metrics.SetGauge("ridgehold_suspected_requests", "",
                      static_cast<double>(state_.poison().suspects()));
-    metrics.SetGauge("ridgehold_holds_rollout", "", duty_.Held(now) ? 1 : 0);
+    metrics.SetGauge("ridgehold_holds_rollout", "", duty_.IsHeld(now) ? 1 : 0);
     metrics.SetGauge("ridgehold_holds_quota_share", "", quota_.Held(now) ? 1 : 0);
     metrics.SetGauge(
         "ridgehold_engines_on_older_weights", "",
@@ -363,7 +364,7 @@
     InstanceFacts facts;
     facts.daemon = settings_.daemon;
     facts.ready = Ready();
-    facts.holds_rollout = duty_.Held(Clock::now());
+    facts.holds_rollout = duty_.IsHeld(Clock::now());
     facts.connections = server_.open_connections();
     facts.settings = settings_in_force_;
     return DumpState(state_, facts, Clock::now());
@@ -391,7 +392,7 @@
   net::awaitable<void> HandOverDuty(TimePoint latest) {
     Timer timer(executor_);
     const TimePoint stop_by = latest - tuning_.longest_load;
-    while (duty_.Held(Clock::now()) && !rollout_.finished() && Clock::now() < stop_by) {
+    while (duty_.IsHeld(Clock::now()) && !rollout_.finished() && Clock::now() < stop_by) {
       co_await WaitFor(timer, tuning_.housekeeping / 5);
     }
     rollout_.Stop();
@@ -445,7 +446,7 @@
   std::map<std::string, std::string> settings_in_force_;
   Metrics metrics_;
   mutable GatewayState state_;
-  OwnRecords records_;
+  InstanceRecords records_;
   Store store_;
   Follower follower_;
   Duty member_;
@@ -454,12 +455,12 @@
   QuotaDuty<Store> quota_;
   typename Env::Control control_;
   BackendProber prober_;
-  Rollout<typename Env::Control, Store> rollout_;
+  RolloutController<typename Env::Control, Store> rollout_;
   CallerServer<typename Env::Wire> server_;
   std::unique_ptr<AdminServer> admin_;
   std::unique_ptr<PeerLink> peers_;
   std::unique_ptr<AdminServer> peer_server_;
-  QuarantineRecords<Store> quarantine_;
+  QuarantineWriter<Store> quarantine_;
   StoreCopyReader<Follower> copy_reader_;
   std::unique_ptr<AdminServer> metrics_server_;
   Timer timer_;
--- a/libs/entry/include/entry/quota_duty.h
+++ b/libs/entry/include/entry/quota_duty.h
@@ -13,8 +13,8 @@
 #include <utility>
 #include <vector>
 
-#include "control/held_key.h"
-#include "control/own_records.h"
+#include "control/instance_records.h"
+#include "control/leased_key.h"
 #include "entry/duty_turn.h"
 #include "entry/entry_settings.h"
 #include "entry/entry_tuning.h"
@@ -32,7 +32,7 @@
 template <StateStore Store>
 class QuotaDuty {
  public:
-  QuotaDuty(Store& store, GatewayState& state, const OwnRecords& records,
+  QuotaDuty(Store& store, GatewayState& state, const InstanceRecords& records,
             const EntrySettings& settings, const EntryTuning& tuning,
             std::function<bool()> store_is_followed)
       : state_(state),
@@ -81,7 +81,7 @@
   std::map<ZoneId, std::string> HoldersByZone() const {
     std::map<ZoneId, std::string> holders;
     const std::string prefix = kQuotaHolderPrefix;
-    for (const StoreItem* item : records_.ItemsUnder(prefix)) {
+    for (const StoreItem* item : records_.ItemsWithPrefix(prefix)) {
       holders[ZoneId(item->key.substr(prefix.size()))] = AddressIn(item->value);
     }
     return holders;
@@ -134,13 +134,13 @@
     return value.substr(begin, value.find(' ', begin) - begin);
   }
 
-  typename HeldKey<Store>::Options KeyOptions(const EntryTuning& tuning) {
-    typename HeldKey<Store>::Options options;
+  typename LeasedKey<Store>::Options KeyOptions(const EntryTuning& tuning) {
+    typename LeasedKey<Store>::Options options;
     options.key = Key();
     options.value = Value();
     options.ttl = std::max(tuning.quota_ttl, settings_.least_lease_ttl);
-    options.look = tuning.quota_look;
-    options.may_be_own = [this] {
+    options.poll_interval = tuning.quota_look;
+    options.predecessor_may_hold = [this] {
       const StoreItem* item = records_.Find(Key());
       return store_is_followed_() && item != nullptr && item->value.starts_with(Value());
     };
@@ -228,7 +228,7 @@
 
   std::optional<QuotaHolder::Taking> Taking(TimePoint now) const {
     if (!key_.MayAct(now)) return std::nullopt;
-    return QuotaHolder::Taking{key_.fencing(), key_.sole_since()};
+    return QuotaHolder::Taking{key_.fencing_token(), key_.exclusive_since()};
   }
 
   std::map<QuotaSubject, QuotaTerms> TakeNewTerms() {
@@ -261,12 +261,12 @@
   }
 
   GatewayState& state_;
-  const OwnRecords& records_;
+  const InstanceRecords& records_;
   const EntrySettings& settings_;
   std::function<bool()> store_is_followed_;
   std::chrono::milliseconds look_;
   DutyTurn turn_;
-  HeldKey<Store> key_;
+  LeasedKey<Store> key_;
   Timer begin_timer_;
   QuotaLink workspaces_;
   QuotaLink backends_;
--- a/libs/peers/include/peers/peer_link.h
+++ b/libs/peers/include/peers/peer_link.h
@@ -63,7 +63,7 @@
   /// the store was read only `seeds` are known, addresses without port. Fails
   /// with kInvalidSettings when the port cannot be had.
   static Result<std::unique_ptr<PeerLink>> Create(GatewayState& state, Options options,
-                                                  const OwnRecords& members,
+                                                  const InstanceRecords& members,
                                                   std::vector<std::string> seeds);
 
   net::awaitable<void> Send();
@@ -88,7 +88,7 @@
   /// datagrams are split on the way and lost whole.
   static constexpr std::size_t kMostPlaced = 24;
 
-  PeerLink(GatewayState& state, Options options, const OwnRecords& members,
+  PeerLink(GatewayState& state, Options options, const InstanceRecords& members,
            std::vector<std::string> seeds, net::ip::udp::socket socket);
 
   /// Takes changes of the fleet, and with them whether others are asked.
@@ -114,7 +114,7 @@
 
   GatewayState& state_;
   Options options_;
-  const OwnRecords& members_;
+  const InstanceRecords& members_;
   std::vector<std::string> seeds_;
   net::ip::udp::socket socket_;
   Timer timer_;
--- a/libs/peers/include/peers/tracker_map.h
+++ b/libs/peers/include/peers/tracker_map.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "base/ids.h"
-#include "control/own_records.h"
+#include "control/instance_records.h"
 #include "net/beast.h"
 
 namespace ridgehold {
--- a/libs/peers/src/peer_link.cc
+++ b/libs/peers/src/peer_link.cc
@@ -14,7 +14,7 @@
 namespace ridgehold {
 
 Result<std::unique_ptr<PeerLink>> PeerLink::Create(GatewayState& state, Options options,
-                                                   const OwnRecords& members,
+                                                   const InstanceRecords& members,
                                                    std::vector<std::string> seeds) {
   ErrorCode error;
   const auto address = net::ip::make_address(options.address, error);
@@ -30,7 +30,7 @@
       new PeerLink(state, std::move(options), members, std::move(seeds), std::move(socket)));
 }
 
-PeerLink::PeerLink(GatewayState& state, Options options, const OwnRecords& members,
+PeerLink::PeerLink(GatewayState& state, Options options, const InstanceRecords& members,
                    std::vector<std::string> seeds, net::ip::udp::socket socket)
     : state_(state),
       options_(std::move(options)),
--- a/libs/peers/src/tracker_map.cc
+++ b/libs/peers/src/tracker_map.cc
@@ -28,10 +28,10 @@
     gateway.address = member.address;
     gateway.zone = member.zone;
     gateway.hash = XXH3_64bits(member.address.data(), member.address.size());
-    gateway.marked = member.marked;
+    gateway.marked = member.key_revision;
     gateway.young_until = young_until;
     const Gateway* known = Find(member.address);
-    if (known != nullptr && known->marked == member.marked) gateway = *known;
+    if (known != nullptr && known->marked == member.key_revision) gateway = *known;
     gateways.push_back(std::move(gateway));
   }
   gateways_ = std::move(gateways);
--- a/libs/peers/test/tracker_map-test.cc
+++ b/libs/peers/test/tracker_map-test.cc
@@ -105,7 +105,7 @@
   BOOST_TEST(told[0]->address == tracker);
   const std::string second = told[1]->address;
   for (Member& member : members) {
-    if (member.address == tracker) member.marked = StoreRevision(2);
+    if (member.address == tracker) member.key_revision = StoreRevision(2);
   }
   map.SetGateways(members, kStart + 1s);
   BOOST_TEST(TrackerOf(7, "z0", kStart + 1s) == second);
@@ -120,7 +120,7 @@
     const auto told = map.TrackersOf(7, ZoneId("z0"), kStart);
     const bool is_told = std::ranges::any_of(
         told, [&](const TrackerMap::Gateway* one) { return one->address == member.address; });
-    if (is_told) member.marked = StoreRevision(2);
+    if (is_told) member.key_revision = StoreRevision(2);
   }
   map.SetGateways(members, kStart + 1s);
   const auto told = map.TrackersOf(7, ZoneId("z0"), kStart + 1s);
--- a/soak/fault_script.cc
+++ b/soak/fault_script.cc
@@ -5,7 +5,7 @@
 #include <csignal>
 
 #include "bounds.h"
-#include "control/own_records.h"
+#include "control/instance_records.h"
 
 namespace ridgehold::soak {
 namespace {
--- a/test/peer_link-test.cc
+++ b/test/peer_link-test.cc
@@ -20,7 +20,7 @@
 struct Gateway {
   Metrics metrics;
   GatewayState state;
-  OwnRecords members;
+  InstanceRecords members;
   std::unique_ptr<PeerLink> link;
 
   Gateway(net::io_context& io, const std::string& address, const std::string& peer,
