--- a/libs/control/include/control/backend_control.h
+++ b/libs/control/include/control/backend_control.h
@@ -1,4 +1,4 @@
-// The concept of giving an engine orders and asking for its state.
+// Interface to an engine's control endpoint: status reports and orders to load weights.
 
 #pragma once
 
@@ -19,21 +19,21 @@
 
 namespace ridgehold {
 
-/// What an engine says of itself; some hundred ms old.
+/// Status that an engine reports about itself; it can be a few hundred milliseconds old.
 struct EngineStatus {
   StartStamp started;
   std::map<ModelId, WeightsNumber> weights;
-  bool busy = false;               ///< an order is being carried out
-  std::uint64_t orders_taken = 0;  ///< number of orders accepted since its start
+  bool busy = false;               ///< an order is in progress
+  std::uint64_t orders_taken = 0;  ///< orders accepted since the engine started
   std::uint32_t waiting = 0;
   std::uint32_t running = 0;
 };
 
-/// What happens to running requests when weights are loaded.
+/// How requests that are running at the engine are treated when it loads weights.
 enum class ReloadMode : std::uint8_t {
-  kFinishRequests,    ///< they end first
-  kAbortRequests,     ///< their streams are reset
-  kContinueRequests,  ///< they go on under the new weights
+  kFinishRequests,    ///< they end before the load
+  kAbortRequests,     ///< their streams are reset before the load
+  kContinueRequests,  ///< they continue with the new weights
 };
 
 std::string_view NameOf(ReloadMode mode);
@@ -45,27 +45,28 @@
   ReloadMode mode = ReloadMode::kFinishRequests;
   DaemonId holder;
   std::uint64_t fencing_token = 0;
-  std::uint64_t expected_orders_taken = 0;  ///< the order is void after any other
+  std::uint64_t expected_orders_taken = 0;  ///< rejected if another order was accepted since
 };
 
-/// How an order was received.
+/// Result of sending an order.
 enum class OrderOutcome : std::uint8_t {
   kStarted,
   kAlreadyLoaded,
-  kConflict,          ///< another order runs, or was taken since the report
-  kFenced,            ///< a holder with a higher fencing token was there
-  kWrongIncarnation,  ///< the address belongs to another incarnation
+  kConflict,          ///< another order is in progress, or was accepted since the report
+  kFenced,            ///< the engine has seen a higher fencing token
+  kWrongIncarnation,  ///< another incarnation answers at the address
   kInvalid,
   kNotSent,  ///< nothing was sent
-  kUnknown,  ///< no answer: it may be carried out, now or later
+  kUnknown,  ///< no answer; the engine may still carry it out
 };
 
 std::string_view NameOf(OrderOutcome outcome);
 
-/// Whether an order may go out now; asked once the connection is there.
+/// Returns whether an order may be sent. Called after the connection is established, immediately
+/// before the order is written.
 using OrderPrecondition = std::function<bool()>;
 
-/// A client of engines' control calls.
+/// A client of the engines' control endpoints.
 template <class Control>
 concept BackendControl = requires(Control& control, const BackendEntry& entry,
                                   const LoadOrder& load, const OrderPrecondition& may_order) {
--- a/libs/control/include/control/decoded_item.h
+++ b/libs/control/include/control/decoded_item.h
@@ -1,4 +1,4 @@
-// What the keys of the store mean to a gateway.
+// Decoded content of store items.
 
 #pragma once
 
@@ -16,16 +16,16 @@
 
 namespace ridgehold {
 
-/// The operator has named newer weights of a model.
+/// Weights of a model that the operator has named for use.
 struct DesiredWeights {
   ModelId model;
   WeightsNumber number;
 };
 
-/// A key that is of no concern.
+/// A key that is not used here.
 struct IgnoredItem {};
 
-/// A key's meaning.
+/// The decoded content of an item.
 using DecodedItem = std::variant<IgnoredItem, RoutingParts, DesiredWeights, BackendEntry>;
 
 /// Decodes keys and values of the store. Stateless.
@@ -33,7 +33,7 @@
 concept ItemDecoder = requires(const StoreItem& item, std::string_view key) {
   /// Fails with kPlatformMalformed.
   { Codec::Decode(item) } -> std::same_as<Result<DecodedItem>>;
-  /// The backend server whose registration `key` is, if it is one.
+  /// Returns the backend server if `key` is a registration.
   { Codec::BackendOf(key) } -> std::same_as<std::optional<BackendId>>;
 };
 
--- a/libs/control/include/control/instance_records.h
+++ b/libs/control/include/control/instance_records.h
@@ -1,4 +1,5 @@
-// The gateways' own keys in the store: who is alive, and who holds the rollout duty.
+// Keys that the instances write to the store: membership, and holders of the rollout and quota
+// locks.
 
 #pragma once
 
@@ -14,63 +15,63 @@
 
 namespace ridgehold {
 
-/// Keys of the gateways' own; all others belong to the platform.
+/// Prefix of the keys that the instances write; all other keys belong to the platform.
 inline constexpr char kInstanceKeyPrefix[] = "ridgehold/";
 inline constexpr char kMemberPrefix[] = "ridgehold/members/";
 inline constexpr char kRolloutHolderKey[] = "ridgehold/rollout-holder";
-/// Followed by an availability zone: who holds its share of all quotas.
+/// Followed by an availability zone; names the instance that holds the zone's share of all quotas.
 inline constexpr char kQuotaHolderPrefix[] = "ridgehold/quota-holder/";
 
-/// A gateway that is alive, as its key in the store says.
+/// A live instance, according to its key in the store.
 struct Member {
   std::string address;  ///< without a port
   ZoneId zone;
-  StoreRevision key_revision;  ///< when its key was written: anew by each process
+  StoreRevision key_revision;  ///< of its key, which each process writes anew
 
   bool operator==(const Member&) const = default;
 };
 
-/// The value of a member's key, without the revision.
+/// Encodes the value of a member's key; the revision is not part of it.
 std::string EncodeMember(const Member& member);
 
-/// Returns nothing when `value` is not a member's.
+/// Returns nullopt if `value` is malformed.
 std::optional<Member> DecodeMember(const std::string& value);
 
-/// A copy of them as the store last told. Not thread-safe.
+/// Local copy of these keys. Not thread-safe.
 class InstanceRecords {
  public:
   void Put(const StoreItem& item);
   void Remove(const std::string& key);
   void Clear();
 
-  /// Returns the item, or null.
+  /// Returns nullptr if there is no such key.
   const StoreItem* Find(const std::string& key) const;
 
-  /// Items whose keys begin so, in the order of their keys.
+  /// Returns the items whose keys start with `prefix`, in the order of the keys.
   std::vector<const StoreItem*> ItemsWithPrefix(const std::string& prefix) const;
 
-  /// How many members' keys come before `key` by name.
+  /// Returns the number of members' keys that sort before `key`.
   std::size_t MemberRank(const std::string& key) const;
 
-  /// Gateways that have a member's key, in the order of their names.
+  /// Members in the order of their keys.
   const std::vector<Member>& Members() const { return members_; }
-  /// Rises with each change of the members.
+  /// Incremented with each change of the members.
   std::uint64_t members_version() const { return members_version_; }
 
-  /// The member of `zone` that asks the store for the others there: the first
-  /// by name. Nothing when none is known.
+  /// Returns the member that relays store updates to the other members of `zone`: the first one by
+  /// name. nullopt if none is known.
   std::optional<Member> ZoneRelay(const ZoneId& zone) const;
 
-  /// The gateway through which `self` hears of the store: the relay of its zone;
-  /// for that one the first of all gateways by name; nothing for this, which asks
-  /// the store. So one gateway asks, whatever the size of the fleet, and changes
-  /// arrive over two hops. Those in `silent`, by address, are passed over.
+  /// Returns the instance from which `self` receives store updates: the relay of its zone or, for
+  /// that relay, the first of all instances by name. nullopt for that one, which watches the store
+  /// itself. So only one instance watches the store, whatever the size of the fleet, and updates
+  /// arrive over at most two hops. Members whose address is in `unresponsive` are skipped.
   std::optional<Member> UpstreamRelay(const Member& self,
-                                      const std::set<std::string>& silent) const;
+                                      const std::set<std::string>& unresponsive) const;
 
  private:
-  /// Decoded once a change, not with each of the hundreds of looks a second.
-  void ReadMembers();
+  /// Decoded once per change, since Members() is called hundreds of times per second.
+  void DecodeMembers();
 
   std::map<std::string, StoreItem> items_;
   std::vector<Member> members_;
--- a/libs/control/include/control/leased_key.h
+++ b/libs/control/include/control/leased_key.h
@@ -1,4 +1,4 @@
-// Holds a key of the store under a lease: a member's mark, or a duty that one gateway has.
+// Holds a key of the store under a lease, for membership or as a lock that one instance holds.
 
 #pragma once
 
@@ -15,10 +15,10 @@
 
 namespace ridgehold {
 
-/// Takes the key whenever it is free, and keeps its lease alive. Certain of
-/// the key only while the lease, counted from before the last renewal was
-/// sent, has not ended. Acts only when another holder's last act is
-/// `separation` old. Runs on one executor.
+/// Acquires the key whenever it is free and keeps its lease alive. The key counts as held only
+/// until the lease expires, measured from the moment before the last renewal was sent. MayAct() is
+/// true only once the previous holder's last action is at least `handover_delay` old. Runs on one
+/// executor.
 template <StateStore Store>
 class LeasedKey {
  public:
@@ -26,21 +26,21 @@
     std::string key;
     std::string value;
     std::chrono::milliseconds ttl{2'000};
-    /// Renewals in one time to live.
+    /// Renewals per `ttl`.
     int renewals_per_ttl = 4;
-    /// Whether another's key is waited for; else it is overwritten (a mark of
-    /// this gateway's own, left by its predecessor).
+    /// Whether to wait until another holder's key is free. Otherwise the key is overwritten: an
+    /// instance's membership key, left behind by its previous process.
     bool exclusive = true;
-    /// How often a taken key is looked at in the local copy of the store.
+    /// Interval at which the local copy of the store is checked while another holder has the key.
     std::chrono::milliseconds poll_interval{200};
-    /// Whether a former process of this instance may have left the key, as far as is
-    /// known without a call to the store; empty: the store is asked at the start.
+    /// Returns whether a previous process of this instance may have left the key behind, judged
+    /// without a call to the store. If empty, the store is asked once at the start.
     std::function<bool()> predecessor_may_hold;
-    /// Between the acts of two holders.
+    /// Minimum time between the actions of two successive holders.
     std::chrono::milliseconds handover_delay{0};
   };
 
-  /// `key_is_free` says whether the store, as last heard, has no such key.
+  /// `key_is_free` returns whether the key is absent from the local copy of the store.
   LeasedKey(Store& store, net::any_io_executor executor, Options options,
             std::function<bool()> key_is_free)
       : store_(store),
@@ -52,79 +52,82 @@
   net::awaitable<void> Run() {
     while (!stopped_) {
       if (lease_) {
-        // Counted from the last renewal's beginning: slow calls to the store
-        // would else use up the lease.
+        // Counted from the start of the renewal: otherwise slow calls to the store would use up the
+        // lease.
         const TimePoint next = Clock::now() + options_.ttl / options_.renewals_per_ttl;
         co_await Renew();
-        co_await MarkActing();
+        co_await MarkActive();
         co_await WaitUntil(timer_, next);
         continue;
       }
-      const bool asks_store = !options_.predecessor_may_hold || options_.predecessor_may_hold();
-      if (options_.exclusive && !looked_for_own_ && asks_store) {
-        co_await TakeBack();
+      const bool ask_store = !options_.predecessor_may_hold || options_.predecessor_may_hold();
+      if (options_.exclusive && !checked_predecessor_ && ask_store) {
+        co_await Reacquire();
       } else if (key_is_free_()) {
-        co_await Take(StoreRevision(0), options_.handover_delay);
+        co_await Acquire(StoreRevision(0), options_.handover_delay);
       }
       if (!lease_) co_await WaitFor(timer_, options_.poll_interval);
     }
   }
 
-  /// Gives the key up; the store forgets it at once if it can be reached.
+  /// Stops holding the key, and revokes its lease so that the store removes the key at once. If the
+  /// store cannot be reached, the key stays until the lease expires.
   net::awaitable<void> Release() {
     stopped_ = true;
     timer_.cancel();
     if (!lease_) co_return;
     const StoreLeaseId lease = *lease_;
-    Forget();
+    ClearLease();
     const StoreResult<StoreLeaseId> ended = co_await store_.RevokeLease(lease);
     if (ended.has_error()) {
-      Log(LogLevel::kWarn, "lease not ended",
+      Log(LogLevel::kWarn, "failed to revoke lease",
           {{"key", options_.key}, {"fault", std::string(NameOf(ended.error()))}});
     }
   }
 
-  /// Whether the key is certainly held at `now`.
+  /// Returns whether the key is certainly held at `now`.
   bool IsHeld(TimePoint now) const { return lease_.has_value() && clock_.MayAct(now); }
 
-  /// Whether the holder may act at `now`.
+  /// Returns whether the key is held and the handover delay has passed at `now`.
   bool MayAct(TimePoint now) const { return IsHeld(now) && now >= active_from_; }
 
-  /// From when on it may, as long as the key is held.
+  /// When the handover delay ends; meaningful while the key is held.
   TimePoint active_from() const { return active_from_; }
 
-  /// Since when no other process can have acted under the key, while it is held: when it
-  /// was taken, or, if a former process of this instance had it, when this one started.
+  /// Since when no other process can have acted under the key, while it is held: the time of
+  /// acquisition, or the start of this process if a previous process of this instance held the key.
   TimePoint exclusive_since() const { return exclusive_since_; }
 
-  /// The revision at which the key was taken: higher for each later holder.
+  /// The revision at which the key was acquired, which is higher for each later holder.
   std::uint64_t fencing_token() const { return fencing_token_; }
 
  private:
-  /// In the key's value when its holder may have acted, so that the separation
-  /// from the holder before it is over.
-  static constexpr char kActing[] = " acting";
-
-  /// A former process of this instance may have the key still. None else can
-  /// have acted under it, so it is taken back at once and without separation:
-  /// waiting for its lease and then for itself cost 4.8 s of the 10 s that a
-  /// rollout has. If the former process had not got to act, the wait stays.
-  net::awaitable<void> TakeBack() {
+  /// Suffix of the key's value once its holder may have acted: the handover delay after the holder
+  /// before it has passed.
+  static constexpr char kActiveSuffix[] = " acting";
+
+  /// Reacquires a key that a previous process of this instance may still hold. No other process can
+  /// have acted under it, so neither its lease nor the handover delay is waited for: the two waits
+  /// took 4.8 s of the 10 s that a rollout has. If the previous process had not yet become active,
+  /// the handover delay still applies.
+  net::awaitable<void> Reacquire() {
     const StoreResult<StorePage> page = co_await store_.List(options_.key, "");
     if (page.has_error()) co_return;
     const auto found = std::ranges::find(page->items, options_.key, &StoreItem::key);
-    const bool acted = found != page->items.end() && found->value == options_.value + kActing;
-    const bool own = acted || (found != page->items.end() && found->value == options_.value);
-    if (own) {
-      co_await Take(found->revision,
-                    acted ? std::chrono::milliseconds(0) : options_.handover_delay);
+    const bool was_active =
+        found != page->items.end() && found->value == options_.value + kActiveSuffix;
+    const bool is_own =
+        was_active || (found != page->items.end() && found->value == options_.value);
+    if (is_own) {
+      co_await Acquire(found->revision,
+                       was_active ? std::chrono::milliseconds(0) : options_.handover_delay);
     }
-    // A taking whose answer was lost is looked for again.
-    looked_for_own_ = !own || lease_.has_value();
+    // If the answer to the write was lost, looks for the key again.
+    checked_predecessor_ = !is_own || lease_.has_value();
   }
 
-  /// Takes the key if it is at `revision`; 0: if it is free.
-  net::awaitable<void> Take(StoreRevision revision, std::chrono::milliseconds handover_delay) {
+  /// Acquires the key if it is at `revision`; 0 means that the key must not exist.
+  net::awaitable<void> Acquire(StoreRevision revision, std::chrono::milliseconds handover_delay) {
     const TimePoint begun = Clock::now();
     const StoreResult<LeaseGrant> granted = co_await store_.GrantLease(options_.ttl);
     if (granted.has_error()) co_return;
@@ -133,7 +136,7 @@
     transaction.puts.push_back({options_.key, options_.value, granted->id});
     const StoreResult<StoreRevision> written = co_await store_.Commit(std::move(transaction));
     if (written.has_error()) {
-      // The write may still be done; ending the lease takes it back.
+      // The write may still be applied; revoking the lease undoes it.
       co_await store_.RevokeLease(granted->id);
       co_return;
     }
@@ -143,7 +146,7 @@
     revision_ = *written;
     active_from_ = Clock::now() + handover_delay;
     exclusive_since_ = revision == StoreRevision(0) ? begun : created_;
-    marked_ = false;
+    marked_active_ = false;
     Log(LogLevel::kInfo, "key held",
         {{"key", options_.key},
          {"fencing", std::to_string(fencing_token_)},
@@ -152,16 +155,16 @@
          {"acts_in_ms", std::to_string(handover_delay.count())}});
   }
 
-  /// Tells a later process of this instance that it need not wait.
-  net::awaitable<void> MarkActing() {
-    const bool due = options_.exclusive && !marked_ && MayAct(Clock::now());
+  /// Marks the key's value, so that a later process of this instance can skip the handover delay.
+  net::awaitable<void> MarkActive() {
+    const bool due = options_.exclusive && !marked_active_ && MayAct(Clock::now());
     if (!due) co_return;
     StoreTransaction transaction;
     transaction.conditions.push_back({options_.key, revision_});
-    transaction.puts.push_back({options_.key, options_.value + kActing, *lease_});
+    transaction.puts.push_back({options_.key, options_.value + kActiveSuffix, *lease_});
     const StoreResult<StoreRevision> written = co_await store_.Commit(std::move(transaction));
     // Only an earlier mark whose answer was lost can have changed the key.
-    marked_ = written.has_value() || written.error() == StoreError::kConditionFailed;
+    marked_active_ = written.has_value() || written.error() == StoreError::kConditionFailed;
   }
 
   net::awaitable<void> Renew() {
@@ -173,16 +176,16 @@
       clock_.Renew(begun, renewed->ttl);
       co_return;
     }
-    // Without an answer the lease may live on. A later renewal that succeeds
-    // proves that nobody else has had the key; giving it up here cost its rest
-    // and the separation after each short outage of the store.
+    // Without an answer the lease may still be alive, and a later renewal that succeeds proves that
+    // no other process has had the key. Giving the key up here would cost the rest of the lease and
+    // the handover delay after each short outage of the store.
     if (renewed.error() != StoreError::kNotFound) co_return;
     Log(LogLevel::kWarn, "key lost",
         {{"key", options_.key}, {"fault", std::string(NameOf(renewed.error()))}});
-    Forget();
+    ClearLease();
   }
 
-  void Forget() {
+  void ClearLease() {
     lease_.reset();
     clock_.Drop();
   }
@@ -194,12 +197,12 @@
   std::optional<StoreLeaseId> lease_;
   LeaseClock clock_;
   std::uint64_t fencing_token_ = 0;
-  StoreRevision revision_;  ///< of the key, as written last
+  StoreRevision revision_;  ///< of the key's last write
   TimePoint active_from_{};
   TimePoint created_;
   TimePoint exclusive_since_{};
-  bool looked_for_own_ = false;
-  bool marked_ = false;
+  bool checked_predecessor_ = false;
+  bool marked_active_ = false;
   bool stopped_ = false;
 };
 
--- a/libs/control/include/control/load_durations.h
+++ b/libs/control/include/control/load_durations.h
@@ -1,4 +1,4 @@
-// How long loads of weights took, by how many ran at once.
+// Durations of weight loads by how many ran concurrently.
 
 #pragma once
 
@@ -9,21 +9,20 @@
 
 namespace ridgehold {
 
-/// Tells how many loads at once bring engines up faster. Where loads share one
-/// thing that bounds them, more at once only take more engines out of service:
-/// nine at once took 2.9 s where two at a time take 0.7 s, and for two seconds
-/// no engine was left. Not thread-safe.
+/// Determines how many concurrent loads shorten a rollout. Where loads share a bottleneck, more of
+/// them only take more engines out of service: nine concurrent loads took 2.9 s where two take 0.7
+/// s, and for two seconds no engine was available. Not thread-safe.
 class LoadDurations {
  public:
-  /// A load was ordered as one of `concurrency`, itself included, and took `took`.
+  /// Records that a load took `took` while `concurrency` loads ran, itself included.
   void Record(std::uint32_t concurrency, Duration took);
 
-  /// The most at once that are worth it; at least `usual`. Numbers that were
-  /// never tried are believed in up to twice the largest that helped.
+  /// Returns the largest concurrency that is worthwhile, at least `usual`. Untried values are
+  /// assumed to help up to twice the largest one that did.
   std::uint32_t MaxUsefulConcurrency(std::uint32_t usual) const;
 
  private:
-  std::map<std::uint32_t, Duration> shortest_;  ///< by number at once
+  std::map<std::uint32_t, Duration> shortest_;  ///< by concurrency
 };
 
 }  // namespace ridgehold
--- a/libs/control/include/control/quarantine_writer.h
+++ b/libs/control/include/control/quarantine_writer.h
@@ -1,4 +1,4 @@
-// Keeps quarantined requests in the store, for instances that start later.
+// Writes quarantined requests to the store, for instances that start later.
 
 #pragma once
 
@@ -19,22 +19,22 @@
 
 namespace ridgehold {
 
-/// Followed by the fingerprint.
+/// Followed by the fingerprint of the request.
 inline constexpr char kQuarantinePrefix[] = "ridgehold/quarantine/";
 
-/// A quarantine's value: who wrote it, and the time of day at which it ends. That may
-/// jump by seconds, which does not matter against minutes.
+/// Encodes a quarantine's value: the instance that wrote it and the wall-clock time at which it
+/// ends. A clock step of a few seconds is negligible against quarantines of minutes.
 std::string EncodeQuarantine(const DaemonId& writer, std::chrono::system_clock::time_point until);
-/// Returns nothing when `value` is not a quarantine's.
+/// Returns nullopt if `value` is malformed.
 std::optional<std::chrono::system_clock::time_point> DecodeQuarantine(const std::string& value);
 
-/// Nothing when `key` is not a quarantine's.
+/// Returns nullopt if `key` is not a quarantine's.
 std::optional<RequestFingerprint> ParseQuarantineKey(const std::string& key);
 
-/// Writes what this gateway has decided, under a lease that ends with the quarantine.
-/// The gateway that saw the last end writes at once; should it be gone, another does, the
-/// members in the order of their names, so that a large fleet does not write all at once.
-/// Datagrams tell the living sooner; the store tells those that come later. Runs on one
+/// Writes each quarantine under a lease that expires with it. The instance that observed the
+/// deciding failure writes at once. In case it has died, the other members follow one after another
+/// in the order of their names, so that a large fleet does not write all at once. Peers receive
+/// quarantines sooner by datagram; the store serves instances that start later. Runs on one
 /// executor.
 template <StateStore Store>
 class QuarantineWriter {
@@ -42,11 +42,12 @@
   struct Options {
     DaemonId self;
     std::chrono::milliseconds poll_interval{250};
-    /// A change of the store is known everywhere within a second or two.
+    /// Delay before the first member writes for another one. A change of the store reaches all
+    /// instances within one to two seconds.
     std::chrono::milliseconds takeover_delay{3'000};
     std::chrono::milliseconds delay_per_rank{500};
     std::size_t max_rank = 20;
-    /// Not worth a write any more.
+    /// Quarantines with less time left are not written.
     std::chrono::milliseconds min_remaining{5'000};
   };
 
@@ -79,7 +80,7 @@
   net::awaitable<void> WriteDecided() {
     const TimePoint now = Clock::now();
     const std::vector<PoisonDetector::Quarantine> decided = guard_.Decided(now);
-    std::erase_if(seen_, [&](const auto& entry) {
+    std::erase_if(first_seen_, [&](const auto& entry) {
       return std::ranges::find(decided, entry.first, &PoisonDetector::Quarantine::request) ==
              decided.end();
     });
@@ -91,10 +92,10 @@
   bool IsDue(const PoisonDetector::Quarantine& quarantine, TimePoint now) {
     if (quarantine.until - now < options_.min_remaining) return false;
     if (records_.Find(KeyOf(quarantine.request)) != nullptr) return false;
-    const TimePoint seen = seen_.try_emplace(quarantine.request, now).first->second;
+    const TimePoint first_seen = first_seen_.try_emplace(quarantine.request, now).first->second;
     if (guard_.DecidedHere(quarantine.request)) return true;
     const std::size_t before = records_.MemberRank(kMemberPrefix + options_.self.value());
-    return now - seen >=
+    return now - first_seen >=
            options_.takeover_delay + std::min(before, options_.max_rank) * options_.delay_per_rank;
   }
 
@@ -120,21 +121,21 @@
       StoreTransaction transaction;
       transaction.removals.push_back(KeyOf(at->first));
       const StoreResult<StoreRevision> written = co_await store_.Commit(std::move(transaction));
-      const bool done = written.has_value() || ++at->second >= kMostTries;
+      const bool done = written.has_value() || ++at->second >= kMaxAttempts;
       at = done ? to_erase_.erase(at) : std::next(at);
     }
   }
 
-  /// A store that is away for longer keeps the key until its lease ends.
-  static constexpr int kMostTries = 40;
+  /// If the store stays unavailable for longer, the key expires with its lease.
+  static constexpr int kMaxAttempts = 40;
 
   Store& store_;
   PoisonGuard& guard_;
   const InstanceRecords& records_;
   Options options_;
   Timer timer_;
-  std::map<RequestFingerprint, TimePoint> seen_;  ///< since when each is quarantined
-  std::map<RequestFingerprint, int> to_erase_;    ///< with tries so far
+  std::map<RequestFingerprint, TimePoint> first_seen_;  ///< when each quarantine was first seen
+  std::map<RequestFingerprint, int> to_erase_;          ///< with the number of attempts
   bool stopped_ = false;
 };
 
--- a/libs/control/include/control/rollout_controller.h
+++ b/libs/control/include/control/rollout_controller.h
@@ -1,4 +1,4 @@
-// The duty of bringing engines to the newest weights; one gateway at a time has it.
+// Rolls new weights out to the engines; one instance at a time does so.
 
 #pragma once
 
@@ -24,19 +24,18 @@
 
 namespace ridgehold {
 
-/// Orders engines only while it certainly holds the duty's key, and not before
-/// the former holder's last order is old enough (LeasedKey). Judges by what
-/// engines report, never by what was ordered. Counts its time from when the
-/// weights were named, and hurries as their bound comes near. Runs on one
-/// executor.
+/// Sends orders only while it certainly holds the rollout lock, and not before the handover delay
+/// after the previous holder (LeasedKey) has passed. Relies on what engines report, not on what was
+/// ordered. The deadline counts from when the weights were named, and concurrency rises as it
+/// approaches. Runs on one executor.
 template <BackendControl Control, StateStore Store>
 class RolloutController {
  public:
   using Options = RolloutOptions;
 
-  RolloutController(Control& control, LeasedKey<Store>& duty, GatewayState& state, Options options)
+  RolloutController(Control& control, LeasedKey<Store>& lock, GatewayState& state, Options options)
       : control_(control),
-        duty_(duty),
+        lock_(lock),
         state_(state),
         options_(std::move(options)),
         pace_(state, options_),
@@ -46,8 +45,8 @@
     pace_.Start(Clock::now());
     while (!stopped_) {
       const TimePoint now = Clock::now();
-      NoteMayOrder(duty_.MayAct(now));
-      if (MayPrepare(now)) StartSteps(now);
+      LogMayOrder(lock_.MayAct(now));
+      if (MayDrain(now)) StartSteps(now);
       co_await WaitFor(timer_, options_.poll_interval);
     }
   }
@@ -57,122 +56,123 @@
     timer_.cancel();
   }
 
-  /// Whether no engine is being brought up.
+  /// Returns whether no step is in progress.
   bool idle() const { return steps_.empty(); }
 
-  /// Whether nothing is left to do for now.
-  bool finished() const { return idle() && Waiting(Clock::now()).empty(); }
+  /// Returns whether no engine is left to update at present.
+  bool finished() const { return idle() && PendingEngines(Clock::now()).empty(); }
 
  private:
-  /// How far an engine is.
+  /// Progress of an engine's step.
   struct StepState {
     TimePoint begun{};
-    bool answered = false;          ///< it gave a report
-    std::optional<TimePoint> turn;  ///< since when it is loading, or about to
+    bool answered = false;                ///< it has reported its status
+    std::optional<TimePoint> load_start;  ///< when it began to load or was about to
   };
 
-  void NoteMayOrder(bool may_order) {
+  void LogMayOrder(bool may_order) {
     if (std::exchange(may_order_, may_order) == may_order) return;
     Log(LogLevel::kInfo, may_order ? "rollout may order" : "rollout may not order",
-        {{"fencing", std::to_string(duty_.fencing_token())},
-         {"key_held", duty_.IsHeld(Clock::now()) ? "yes" : "no"}});
+        {{"fencing", std::to_string(lock_.fencing_token())},
+         {"key_held", lock_.IsHeld(Clock::now()) ? "yes" : "no"}});
   }
 
-  bool OrderPrecondition(TimePoint now) const { return !stopped_ && duty_.MayAct(now); }
+  bool MayOrder(TimePoint now) const { return !stopped_ && lock_.MayAct(now); }
 
-  /// Engines are emptied while the former holder's time runs out.
-  bool MayPrepare(TimePoint now) const {
-    return !stopped_ && duty_.IsHeld(now) && now >= duty_.active_from() - options_.max_drain;
+  /// Engines may drain during the handover delay, so that they are ready when it ends.
+  bool MayDrain(TimePoint now) const {
+    return !stopped_ && lock_.IsHeld(now) && now >= lock_.active_from() - options_.max_drain;
   }
 
   void StartSteps(TimePoint now) {
-    std::erase_if(left_alone_, [&](const auto& entry) { return now >= entry.second; });
-    std::vector<RolloutStep> waiting = Waiting(now);
-    const std::size_t turns = TurnsAt(now);
-    const std::size_t taken = TurnsTaken(now);
-    if (taken >= turns) return;
-    waiting.resize(std::min(waiting.size(), turns - taken));
-    for (const RolloutStep& step : waiting) {
+    std::erase_if(backed_off_, [&](const auto& entry) { return now >= entry.second; });
+    std::vector<RolloutStep> pending = PendingEngines(now);
+    const std::size_t limit = ConcurrencyAt(now);
+    const std::size_t active = CountActiveSteps(now);
+    if (active >= limit) return;
+    pending.resize(std::min(pending.size(), limit - active));
+    for (const RolloutStep& step : pending) {
       steps_[step.engine->entry.id].begun = now;
-      net::co_spawn(state_.executor(), BringUp(step), net::detached);
+      net::co_spawn(state_.executor(), RunStep(step), net::detached);
     }
   }
 
-  /// Engines to be brought up that nothing has been begun for.
-  std::vector<RolloutStep> Waiting(TimePoint now) const {
-    std::vector<RolloutStep> waiting = Answering(now);
-    std::erase_if(waiting,
+  /// Returns the outdated engines without a step in progress.
+  std::vector<RolloutStep> PendingEngines(TimePoint now) const {
+    std::vector<RolloutStep> pending = ResponsiveEngines(now);
+    std::erase_if(pending,
                   [&](const RolloutStep& step) { return steps_.contains(step.engine->entry.id); });
-    return waiting;
+    return pending;
   }
 
-  /// Engines to be brought up, without those that gave no report lately.
-  std::vector<RolloutStep> Answering(TimePoint now) const {
+  /// Returns the outdated engines, except those that recently gave no report.
+  std::vector<RolloutStep> ResponsiveEngines(TimePoint now) const {
     std::vector<RolloutStep> engines = OutdatedEngines(state_.directory(), state_.named_weights());
     std::erase_if(engines, [&](const RolloutStep& step) {
-      const auto found = left_alone_.find(step.engine->entry.id);
-      return found != left_alone_.end() && now < found->second;
+      const auto found = backed_off_.find(step.engine->entry.id);
+      return found != backed_off_.end() && now < found->second;
     });
     return engines;
   }
 
-  /// A silent engine takes nobody's turn.
-  std::size_t TurnsTaken(TimePoint now) const {
+  /// Returns the number of steps that count against the concurrency limit. An engine that does not
+  /// answer promptly is not counted.
+  std::size_t CountActiveSteps(TimePoint now) const {
     return static_cast<std::size_t>(std::ranges::count_if(steps_, [&](const auto& entry) {
       return entry.second.answered || now - entry.second.begun < options_.prompt_status;
     }));
   }
 
-  /// Engines that may be emptied or load at once.
-  std::size_t TurnsAt(TimePoint now) const {
-    return pace_.TurnsFor(Answering(now), now) + LoadsEnding(now);
+  /// Returns how many engines may drain or load concurrently.
+  std::size_t ConcurrencyAt(TimePoint now) const {
+    return pace_.Concurrency(ResponsiveEngines(now), now) + CountLoadsEnding(now);
   }
 
-  std::size_t Answered() const {
+  std::size_t CountAnswered() const {
     return static_cast<std::size_t>(
         std::ranges::count_if(steps_, [](const auto& entry) { return entry.second.answered; }));
   }
 
-  /// Loads that will end before another engine is emptied.
-  std::size_t LoadsEnding(TimePoint now) const {
+  /// Returns the number of loads that are expected to end before another engine has drained.
+  std::size_t CountLoadsEnding(TimePoint now) const {
     return static_cast<std::size_t>(std::ranges::count_if(steps_, [&](const auto& entry) {
-      return entry.second.turn && now - *entry.second.turn >= options_.first_load_poll;
+      return entry.second.load_start && now - *entry.second.load_start >= options_.first_load_poll;
     }));
   }
 
-  std::size_t Loading() const {
+  std::size_t CountLoading() const {
     return static_cast<std::size_t>(std::ranges::count_if(
-        steps_, [](const auto& entry) { return entry.second.turn.has_value(); }));
+        steps_, [](const auto& entry) { return entry.second.load_start.has_value(); }));
   }
 
-  /// Empties one engine, orders it, and waits until it reports the weights.
-  net::awaitable<void> BringUp(RolloutStep step) {
+  /// Drains one engine, sends the order, and waits until the engine reports the weights.
+  net::awaitable<void> RunStep(RolloutStep step) {
     const BackendId id = step.engine->entry.id;
     Timer timer(state_.executor());
     StepTimes times;
     times.begun = Clock::now();
-    const auto report = co_await AskReport(step);
+    const auto report = co_await FetchReport(step);
     if (!report) {
       times.outcome = "no_report";
-      LeaveAlone(step);
-    } else if (TakeReport(step, *report, std::nullopt)) {
+      BackOff(step);
+    } else if (ApplyReport(step, *report, std::nullopt)) {
       times.outcome = "loaded";
-    } else if (Answered() >= TurnsAt(Clock::now())) {
-      // Its report was late and others have the turns. Held without one, it
-      // would stand idle; the next look begins it again.
+    } else if (CountAnswered() >= ConcurrencyAt(Clock::now())) {
+      // The report was late and other engines are using the concurrency by now. Holding this engine
+      // would only idle it; a later poll starts it again.
       steps_.erase(id);
       co_return;
     } else {
       steps_[id].answered = true;
-      co_await EmptyAndLoad(step, timer, times);
+      co_await DrainAndLoad(step, timer, times);
     }
     LogRolloutStep(state_, step, times);
     steps_.erase(id);
   }
 
-  /// A report of a later process at the address is none of this engine: that one
-  /// counts its orders anew, and its registration is on the way.
-  net::awaitable<std::optional<EngineStatus>> AskReport(const RolloutStep& step) {
+  /// Fetches the engine's status. A report from a later process at the same address is discarded:
+  /// that process counts its orders from zero, and its registration is about to arrive.
+  net::awaitable<std::optional<EngineStatus>> FetchReport(const RolloutStep& step) {
     std::optional<EngineStatus> report = co_await control_.FetchStatus(step.engine->entry);
     const StartStamp known = step.engine->entry.started;
     const bool compared = report && known != StartStamp() && report->started != StartStamp();
@@ -186,8 +186,8 @@
     co_return report;
   }
 
-  /// Brings what all gateways do at the engine up to date.
-  net::awaitable<void> AskLoad(const RolloutStep& step) {
+  /// Refreshes the number of requests that all instances have at the engine.
+  net::awaitable<void> RefreshLoad(const RolloutStep& step) {
     if (!state_.asks_first()) co_return;
     LoadQuestion question;
     question.backends.push_back(step.engine);
@@ -195,122 +195,119 @@
     co_await state_.AskLoads(std::move(question));
   }
 
-  net::awaitable<void> EmptyAndLoad(const RolloutStep& step, Timer& timer, StepTimes& times) {
+  net::awaitable<void> DrainAndLoad(const RolloutStep& step, Timer& timer, StepTimes& times) {
     co_await Drain(step, timer);
-    co_await AwaitTurn(step, timer);
-    co_await AskLoad(step);
-    times.emptied = Clock::now();
-    steps_[step.engine->entry.id].turn = times.emptied;
+    co_await WaitForTurn(step, timer);
+    co_await RefreshLoad(step);
+    times.drained = Clock::now();
+    steps_[step.engine->entry.id].load_start = times.drained;
     co_await Load(step, timer, times);
     state_.Hold(*step.engine, std::chrono::milliseconds(0), Clock::now());
   }
 
-  /// Waits until only requests run there that can be resumed elsewhere, for a
-  /// while.
+  /// Waits, for at most the drain time, until all requests at the engine can be resumed elsewhere.
   net::awaitable<void> Drain(const RolloutStep& step, Timer& timer) {
     const TimePoint begun = Clock::now();
-    bool empty = false;
-    while (!empty && !stopped_ && Clock::now() - begun < pace_.DrainTime(step, Clock::now())) {
-      KeepHeld(step);
+    bool drained = false;
+    while (!drained && !stopped_ && Clock::now() - begun < pace_.DrainTime(step, Clock::now())) {
+      RenewHold(step);
       co_await WaitFor(timer, options_.hold_propagation);
-      co_await AskLoad(step);
-      empty = RolloutPace::Unrepeatable(step) == 0;
+      co_await RefreshLoad(step);
+      drained = RolloutPace::Unrepeatable(step) == 0;
     }
   }
 
-  /// Waits until the holder may order, and a load of another engine has ended
-  /// where too many run.
-  net::awaitable<void> AwaitTurn(const RolloutStep& step, Timer& timer) {
-    while (!stopped_ && duty_.IsHeld(Clock::now())) {
+  /// Waits until orders may be sent and, at the concurrency limit, until the load of another engine
+  /// has ended.
+  net::awaitable<void> WaitForTurn(const RolloutStep& step, Timer& timer) {
+    while (!stopped_ && lock_.IsHeld(Clock::now())) {
       const TimePoint now = Clock::now();
-      if (OrderPrecondition(now) && Loading() < pace_.TurnsFor(Answering(now), now)) break;
-      KeepHeld(step);
+      if (MayOrder(now) && CountLoading() < pace_.Concurrency(ResponsiveEngines(now), now)) break;
+      RenewHold(step);
       co_await WaitFor(timer, options_.poll_interval);
     }
   }
 
-  /// Holds are short, in case this gateway ends, so they are renewed.
-  void KeepHeld(const RolloutStep& step) {
+  /// Renews the hold. Holds are short, so that they expire soon if this instance dies.
+  void RenewHold(const RolloutStep& step) {
     const TimePoint now = Clock::now();
     if (step.engine->hold_until - now >= options_.hold_duration / 2) return;
     state_.Hold(*step.engine, options_.hold_duration, now);
   }
 
-  void LeaveAlone(const RolloutStep& step) {
+  void BackOff(const RolloutStep& step) {
     const TimePoint now = Clock::now();
-    left_alone_[step.engine->entry.id] = now + options_.unresponsive_backoff;
-    // Its kept connections may have gone silent, and not the engine.
+    backed_off_[step.engine->entry.id] = now + options_.unresponsive_backoff;
+    // Only its pooled connections may be unresponsive, and not the engine.
     state_.pool().Forget(step.engine->entry.address);
     BackendDirectory::NoteFailure(*step.engine, now);
   }
 
   net::awaitable<void> Load(const RolloutStep& step, Timer& timer, StepTimes& times) {
-    const TimePoint give_up = Clock::now() + options_.load_timeout;
+    const TimePoint deadline = Clock::now() + options_.load_timeout;
     std::optional<WeightsNumber> ordered;
     std::uint32_t concurrency = 0;
-    while (Clock::now() < give_up && !stopped_ && !step.engine->removed) {
-      const auto report = co_await AskReport(step);
+    while (Clock::now() < deadline && !stopped_ && !step.engine->removed) {
+      const auto report = co_await FetchReport(step);
       if (!report) {
         times.outcome = "no_report";
-        LeaveAlone(step);
+        BackOff(step);
         break;
       }
-      if (TakeReport(step, *report, ordered)) {
+      if (ApplyReport(step, *report, ordered)) {
         times.outcome = "loaded";
-        if (ordered) pace_.NoteLoad(concurrency, Since(*times.ordered));
+        if (ordered) pace_.NoteLoad(concurrency, ElapsedSince(*times.ordered));
         break;
       }
-      if (!ordered && !OrderPrecondition(Clock::now())) {
+      if (!ordered && !MayOrder(Clock::now())) {
         times.outcome = "duty_lost";
         break;
       }
       std::chrono::milliseconds pause = options_.load_poll_interval;
       if (!ordered && !report->busy) {
         ordered = co_await Order(step, *report, times);
-        concurrency = static_cast<std::uint32_t>(Loading());
+        concurrency = static_cast<std::uint32_t>(CountLoading());
         if (ordered) pause = options_.first_load_poll;
       }
-      KeepHeld(step);
+      RenewHold(step);
       co_await WaitFor(timer, pause);
     }
   }
 
-  /// Returns whether the engine has the weights it was ordered to load, or
-  /// the newest. Newer ones named meanwhile are a step of their own.
-  bool TakeReport(const RolloutStep& step, const EngineStatus& report,
-                  std::optional<WeightsNumber> ordered) {
+  /// Returns whether the engine has the weights that it was ordered to load, or the newest ones if
+  /// it was not ordered. Weights that were named in the meantime are a step of their own.
+  bool ApplyReport(const RolloutStep& step, const EngineStatus& report,
+                   std::optional<WeightsNumber> ordered) {
     const auto found = report.weights.find(step.model);
     const auto newest = state_.named_weights().Newest(step.model);
     if (found == report.weights.end() || !newest) return true;
     state_.NoteWeights(*step.engine, step.model, found->second);
-    const bool there = found->second >= ordered.value_or(*newest);
-    if (there) {
-      Log(LogLevel::kInfo, "engine has ordered weights",
+    const bool loaded = found->second >= ordered.value_or(*newest);
+    if (loaded) {
+      Log(LogLevel::kInfo, "engine loaded weights",
           {{"backend", step.engine->entry.id.value()},
            {"weights", std::to_string(found->second.value())}});
     }
-    return there;
+    return loaded;
   }
 
-  /// Returns the weights the engine loads now; nothing when it took no order.
+  /// Returns the weights that the engine is loading, or nullopt if it did not accept the order.
   net::awaitable<std::optional<WeightsNumber>> Order(const RolloutStep& step,
                                                      const EngineStatus& report, StepTimes& times) {
     LoadOrder load;
     load.model = step.model;
     load.number = *state_.named_weights().Newest(step.model);
     load.holder = options_.self;
-    load.fencing_token = duty_.fencing_token();
+    load.fencing_token = lock_.fencing_token();
     load.mode = pace_.ModeFor(step, Clock::now());
     load.expected_orders_taken = report.orders_taken;
     times.ordered = Clock::now();
     times.left_to_end = RolloutPace::Unrepeatable(step);
     times.mode = load.mode;
-    // Report and connection take time; the duty may be gone when both are there.
-    const ridgehold::OrderPrecondition may_order = [this] {
-      return OrderPrecondition(Clock::now());
-    };
+    // The lock can be lost while the report is fetched and the connection is made.
+    const ridgehold::OrderPrecondition may_send = [this] { return MayOrder(Clock::now()); };
     const OrderOutcome outcome =
-        co_await control_.SendLoadOrder(step.engine->entry, load, may_order);
+        co_await control_.SendLoadOrder(step.engine->entry, load, may_send);
     const std::string outcome_name(NameOf(outcome));
     Log(LogLevel::kInfo, "ordered weights",
         {{"backend", step.engine->entry.id.value()},
@@ -321,22 +318,23 @@
          {"orders_taken", std::to_string(load.expected_orders_taken)},
          {"outcome", outcome_name}});
     state_.metrics().GetCounter("ridgehold_weight_orders").Add();
-    const bool taken = outcome == OrderOutcome::kStarted || outcome == OrderOutcome::kAlreadyLoaded;
-    co_return taken ? std::optional(load.number) : std::nullopt;
+    const bool accepted =
+        outcome == OrderOutcome::kStarted || outcome == OrderOutcome::kAlreadyLoaded;
+    co_return accepted ? std::optional(load.number) : std::nullopt;
   }
 
-  static Duration Since(TimePoint moment) {
+  static Duration ElapsedSince(TimePoint moment) {
     return std::chrono::duration_cast<Duration>(Clock::now() - moment);
   }
 
   Control& control_;
-  LeasedKey<Store>& duty_;
+  LeasedKey<Store>& lock_;
   GatewayState& state_;
   Options options_;
   RolloutPace pace_;
   Timer timer_;
   std::map<BackendId, StepState> steps_;
-  std::map<BackendId, TimePoint> left_alone_;  ///< gave no report; until when
+  std::map<BackendId, TimePoint> backed_off_;  ///< end of the back-off after a missing report
   bool may_order_ = false;
   bool stopped_ = false;
 };
--- a/libs/control/include/control/rollout_options.h
+++ b/libs/control/include/control/rollout_options.h
@@ -1,4 +1,4 @@
-// What a rollout of weights may take, and how many engines it has load at once.
+// Options of the rollout of weights.
 
 #pragma once
 
@@ -9,48 +9,53 @@
 
 namespace ridgehold {
 
-/// How a rollout of weights goes on; times are as seen on the platform's sites.
+/// Time limits, intervals and concurrency of a rollout. Default durations are as measured on the
+/// platform's sites.
 struct RolloutOptions {
   DaemonId self;
-  /// One engine of so many loads at a time.
+  /// Out of this many engines of a service, one loads at a time.
   std::uint32_t engines_per_load = 5;
-  /// Off: runs are broken off for loads whether or not retries are left.
+  /// If false, requests are aborted for loads even if no retry budget is left for them.
   bool preserve_retry_budget = true;
-  /// Off: the hurry before a bound is not limited by what loads were seen to take.
+  /// If false, measured load durations do not limit the concurrency that a near deadline asks for.
   bool limit_by_measured_loads = true;
-  /// Between looks for work.
+  /// Interval between checks for outdated engines.
   std::chrono::milliseconds poll_interval{50};
-  /// Between looks at an engine that is loading, and when the first is due.
+  /// Interval between status requests to an engine that is loading.
   std::chrono::milliseconds load_poll_interval{100};
-  /// A load takes 0.76 s or more on the platform's sites.
+  /// Delay before the first status request to an engine that is loading. A load takes 0.76 s or
+  /// more on the platform's sites.
   std::chrono::milliseconds first_load_poll{600};
-  /// An order and the report that it is done, 1.05 s to 1.15 s on the
-  /// platform's sites when no run has to end first.
+  /// Time from the order to the report that the load is done: 1.05 s to 1.15 s on the platform's
+  /// sites if no request has to end first.
   std::chrono::milliseconds expected_load{1'150};
-  /// A load that has not shown by then is planned again.
+  /// A load that is not reported as done by then is planned again.
   std::chrono::milliseconds load_timeout{6'000};
-  /// Gateways need so long to hear that an engine is held.
+  /// Time until all instances have heard that an engine is held, that is, that it gets no new
+  /// requests.
   std::chrono::milliseconds hold_propagation{80};
-  /// Requests that cannot be resumed elsewhere get so long to end.
+  /// Longest drain for requests that cannot be resumed at another engine.
   std::chrono::milliseconds max_drain{1'500};
-  /// The same when all engines are busy: an engine that is emptied serves
-  /// nobody, and in so long it reads what one to two long prompts take.
+  /// The same if all engines are busy. A drained engine serves no requests, and in this time it
+  /// could prefill one to two long prompts.
   std::chrono::milliseconds min_drain{300};
-  /// Runs may end under an order only if that should take no longer, and only
-  /// while there is time for the worst. It blocks the engine meanwhile:
-  /// overloaded ones took 4.0 to 4.8 s, half of it for the last few runs.
+  /// Requests may finish before a load only if they are expected to take no longer than
+  /// `max_expected_finish`, and only if `max_finish` is left before the deadline. The engine
+  /// accepts nothing meanwhile: overloaded ones took 4.0 s to 4.8 s, half of it for the last few
+  /// requests.
   std::chrono::milliseconds max_expected_finish{1'000};
   std::chrono::milliseconds max_finish{5'000};
-  /// The last order is given so long before older weights are at their limit.
+  /// The last order is sent this long before older weights reach their limit.
   std::chrono::milliseconds deadline_margin{1'000};
-  /// Engines are held at most so long at once, in case this gateway ends.
+  /// Duration of one hold, which is renewed. It expires by itself if this instance dies.
   std::chrono::milliseconds hold_duration{4'000};
-  /// An engine that is there answers within this; others give up their turn.
+  /// An engine that is alive answers within this time; one that takes longer does not count against
+  /// the concurrency.
   std::chrono::milliseconds prompt_status{100};
-  /// One that gave no report is left alone for so long.
+  /// An engine that gave no report is not tried again for this long.
   std::chrono::milliseconds unresponsive_backoff{1'000};
-  /// After a start the bound of weights that were named at an unknown time is
-  /// left aside for so long, in which other gateways tell the time.
+  /// For this long after the start, the deadline of weights whose naming time is unknown is
+  /// ignored, while other instances tell the time.
   std::chrono::milliseconds assumed_age_grace{1'000};
 };
 
--- a/libs/control/include/control/rollout_pace.h
+++ b/libs/control/include/control/rollout_pace.h
@@ -1,4 +1,4 @@
-// How fast a rollout must go, and how gently it may treat what runs at an engine.
+// Concurrency of a rollout, and how it treats the requests that are running at an engine.
 
 #pragma once
 
@@ -14,43 +14,42 @@
 
 namespace ridgehold {
 
-/// Weighs the bound on older weights against the requests at the engines. Time
-/// comes in as a value.
+/// Trades the deadline for older weights off against the requests at the engines. Takes the current
+/// time as a parameter.
 class RolloutPace {
  public:
   RolloutPace(GatewayState& state, const RolloutOptions& options)
       : state_(state), options_(options) {}
 
-  /// The process has just started; see RolloutOptions::assumed_age_grace.
+  /// Records the start of the process; see RolloutOptions::assumed_age_grace.
   void Start(TimePoint now) { started_ = now; }
 
-  /// How many of `engines`, which are to be brought up, load at once: more as
-  /// the bound comes near, since waiting for turns past it would keep requests
-  /// on weights that are too old.
-  std::uint32_t TurnsFor(const std::vector<RolloutStep>& engines, TimePoint now) const;
+  /// Returns how many of the outdated `engines` load concurrently. The number grows as the deadline
+  /// approaches, since engines that wait for their turn beyond it would serve requests on weights
+  /// that are too old.
+  std::uint32_t Concurrency(const std::vector<RolloutStep>& engines, TimePoint now) const;
 
-  /// A load that was ordered as one of `concurrency` took `took`.
+  /// Records that a load took `took` while `concurrency` loads ran.
   void NoteLoad(std::uint32_t concurrency, Duration took) {
     load_durations_.Record(concurrency, took);
   }
 
-  /// How long an engine is waited for to empty, so that its order comes well
-  /// before the bound.
+  /// Returns how long an engine may drain, so that its order is sent well before the deadline.
   Duration DrainTime(const RolloutStep& step, TimePoint now) const;
 
-  /// What happens to the runs there: resumable ones are broken off and go on
-  /// elsewhere, as long as there are retries for them; others end first if that
-  /// is short and there is time for the worst, else they go on under the new
-  /// weights, so that no caller loses an answer. Without regard to retries,
-  /// three rollouts in 9 s broke off 100 of 250 streams for good.
+  /// Chooses how the load treats the running requests. If all of them are resumable, they are
+  /// aborted and resume at other engines, as long as most of them have retry budget. Otherwise they
+  /// finish first if that is expected to be short and there is time for the worst case. Otherwise
+  /// they continue with the new weights, so that no caller loses a response. When retry budgets
+  /// were ignored, three rollouts in 9 s aborted 100 of 250 streams for good.
   ReloadMode ModeFor(const RolloutStep& step, TimePoint now) const;
 
-  /// Requests there that cannot be resumed elsewhere.
+  /// Number of requests at the engine that cannot be resumed elsewhere.
   static std::uint32_t Unrepeatable(const RolloutStep& step) {
     return step.engine->unrepeatable + step.engine->peers.unrepeatable;
   }
 
-  /// Others there that the gateways have no retries left for.
+  /// Number of other requests at the engine for which no instance has retry budget left.
   std::uint32_t Uncovered(const RolloutStep& step, TimePoint now) const {
     return state_.Uncovered(*step.engine, now) + step.engine->peers.uncovered;
   }
@@ -60,15 +59,15 @@
   }
 
  private:
-  /// How long an engine may stand idle for the requests that end there.
-  Duration DrainWorth(const RolloutStep& step, TimePoint now) const;
+  /// Longest drain under the current load, regardless of the deadline.
+  Duration MaxDrainTime(const RolloutStep& step, TimePoint now) const;
 
-  /// How full the engines of a service are that take requests: 1 when they have
-  /// as much to read as the shortest objective allows.
-  double PressureAt(const ServiceId& service, TimePoint now) const;
+  /// Prefill load of the service's available engines, from 0 to 1. At 1 their queued prompts take
+  /// as long as the shortest latency objective allows.
+  double PrefillLoad(const ServiceId& service, TimePoint now) const;
 
-  /// Until when requests may begin on the weights the engine has.
-  std::optional<TimePoint> BoundOf(const RolloutStep& step, TimePoint now) const;
+  /// When the engine's weights become too old for new requests; nullopt if there is no deadline.
+  std::optional<TimePoint> DeadlineOf(const RolloutStep& step, TimePoint now) const;
 
   GatewayState& state_;
   const RolloutOptions& options_;
--- a/libs/control/include/control/rollout_plan.h
+++ b/libs/control/include/control/rollout_plan.h
@@ -1,4 +1,4 @@
-// Which engines should load newer weights now.
+// Selects the engines that are to load newer weights, and how many load concurrently.
 
 #pragma once
 
@@ -11,26 +11,26 @@
 
 namespace ridgehold {
 
-/// An engine that is to load weights.
+/// An engine that is to load weights of a model.
 struct RolloutStep {
   BackendPtr engine;
   ModelId model;
 };
 
-/// Engines that are to load newer weights than they have, the oldest and then
-/// the least busy first.
+/// Returns the engines with outdated weights. Engines that fail come last; the others are ordered
+/// by oldest weights, then by least load.
 std::vector<RolloutStep> OutdatedEngines(const BackendDirectory& directory,
                                          const NamedWeights& named);
 
-/// Engines of a service that load at once when there is time: one of
+/// Returns how many engines of a service load concurrently when there is no time pressure: one of
 /// `engines_per_load`, rounded up.
 std::uint32_t DefaultLoadConcurrency(const BackendDirectory& directory, const ServiceId& service,
                                      std::uint32_t engines_per_load);
 
-/// Engines that must load at once so that each has its order in time, `usual`
-/// at least: `time_left` has an entry for each engine, and each takes `load`.
-/// Those with the least time go first; so an engine that is late hurries those
-/// before it, and not all others. Pure.
+/// Returns how many engines must load concurrently, at least `usual`, so that each gets its order
+/// in time. `time_left` has an entry for each engine, and each load takes `load`. Engines with the
+/// least time left go first, so a late engine adds concurrency only for itself and not for all
+/// others. Pure.
 std::uint32_t RequiredLoadConcurrency(std::uint32_t usual, std::vector<Duration> time_left,
                                       Duration load);
 
--- a/libs/control/include/control/rollout_step_log.h
+++ b/libs/control/include/control/rollout_step_log.h
@@ -1,4 +1,4 @@
-// The line and metrics of one engine's step in a rollout.
+// Log line and metrics of one engine's step in a rollout.
 
 #pragma once
 
@@ -11,18 +11,19 @@
 
 namespace ridgehold {
 
-/// What one engine's step took, for its line in the log.
+/// Timestamps and result of one engine's step.
 struct StepTimes {
   TimePoint begun{};
-  std::optional<TimePoint> emptied;
+  std::optional<TimePoint> drained;
   std::optional<TimePoint> ordered;
   ReloadMode mode = ReloadMode::kFinishRequests;
-  std::uint32_t left_to_end = 0;  ///< runs there that could not be resumed, when it was ordered
+  std::uint32_t left_to_end =
+      0;  ///< requests that could not be resumed elsewhere when it was ordered
   const char* outcome = "given_up";
 };
 
-/// Writes the step's line. Its times tell what held the engine up: runs that
-/// had to end before the order, a turn to load, or the load itself.
+/// Logs the step and records its duration. The fields show where the time went: draining, waiting
+/// for a turn to load, or the load itself.
 void LogRolloutStep(GatewayState& state, const RolloutStep& step, const StepTimes& times);
 
 }  // namespace ridgehold
--- a/libs/control/include/control/state_follower.h
+++ b/libs/control/include/control/state_follower.h
@@ -1,4 +1,4 @@
-// Keeps a gateway's tables equal to the store: one listing, then a watch.
+// Keeps an instance's routing state in sync with the store: one listing, then watches.
 
 #pragma once
 
@@ -19,30 +19,30 @@
 
 namespace ridgehold {
 
-/// Runs until Stop on one executor. Any answer that proves what the newest
-/// configuration is also moves GatewayState::confirmed_at.
+/// Runs until Stop() on one executor. Each answer that proves which configuration is the newest
+/// also advances GatewayState::confirmed_at.
 template <StateStore Store, ItemDecoder Codec>
 class StateFollower {
  public:
   struct Options {
-    /// An empty watch ends after this long and confirms the configuration; a
-    /// third of the strictest trust in keys, 5 s, leaves room for a lost one.
+    /// An empty watch ends after this long and confirms the configuration. 1 s is less than a third
+    /// of 5 s, the shortest time for which API keys may be trusted without confirmation, so a lost
+    /// watch is tolerated.
     std::chrono::milliseconds watch_timeout{1'000};
-    /// After news the store is not asked again for so long: a rollout writes
-    /// some twenty keys a second, and each would cost every relay a call. What
-    /// is late by this stays within a tenth of the time that leaving backend
-    /// servers and changed configurations leave.
+    /// Pause after a watch that returned changes: a rollout writes some twenty keys per second,
+    /// and each would cost every relay a call. The added delay is within a tenth of the time that
+    /// shutdowns of backend servers and configuration changes allow.
     std::chrono::milliseconds batch_delay{200};
-    /// Whether another gateway's copy is followed now instead of the store.
+    /// Returns whether the copy of a peer is followed at present instead of the store.
     std::function<bool()> follows_peer = [] { return false; };
     std::chrono::milliseconds peer_poll_interval{100};
-    /// After the first listing the store is not asked for so long while a peer's
-    /// copy may come to be followed.
+    /// After the first listing, the store is not called for up to this long, until a peer's copy
+    /// can be followed.
     std::chrono::milliseconds relay_wait{0};
-    /// What a process finds at its start was written at an unknown time; its
-    /// peers tell better if there are any.
+    /// Assumed age of items found at the start, whose write time is unknown. Peers provide the
+    /// actual age if there are any.
     std::chrono::milliseconds assumed_age{5'000};
-    /// Between failed calls; doubled up to the longest.
+    /// Delay between failed calls, doubled up to `max_backoff`.
     std::chrono::milliseconds min_backoff{50};
     std::chrono::milliseconds max_backoff{400};
   };
@@ -51,7 +51,7 @@
       : store_(store),
         state_(state),
         records_(records),
-        sink_(state, records),
+        applier_(state, records),
         options_(options),
         timer_(state.executor()) {}
 
@@ -62,15 +62,15 @@
         co_await WaitFor(timer_, options_.peer_poll_interval);
         continue;
       }
-      // No co_await within a condition: g++ 12 miscompiles some of them.
+      // co_await is not used within a condition: g++ 12 miscompiles some of these.
       if (listed_) {
         co_await WatchOnce();
         continue;
       }
-      const bool first = !read_once_;
+      const bool first = !loaded_;
       const bool listed = co_await ListAll();
-      if (!listed) co_await Pause();
-      if (listed && first) co_await AwaitRelay();
+      if (!listed) co_await BackOff();
+      if (listed && first) co_await WaitForRelay();
     }
   }
 
@@ -79,55 +79,55 @@
     timer_.cancel();
   }
 
-  /// Everything known of the store, by key, and the revision it is of.
+  /// The local copy of the store by key, and its revision.
   const std::map<std::string, StoreItem>& items() const { return items_; }
   StoreRevision revision() const { return revision_; }
 
-  /// The changes after `revision`, if all of them are still remembered.
+  /// Returns the changes after `revision`, or nullopt if some of them are no longer kept.
   std::optional<std::vector<StoreEvent>> ChangesAfter(StoreRevision revision) const {
-    if (!listed_ || revision < forgotten_up_to_ || revision > revision_) return std::nullopt;
+    if (!listed_ || revision < oldest_kept_revision_ || revision > revision_) return std::nullopt;
     std::vector<StoreEvent> changes;
-    for (const StoreEvent& event : recent_) {
+    for (const StoreEvent& event : recent_changes_) {
       if (event.revision > revision) changes.push_back(event);
     }
     return changes;
   }
 
-  /// Takes changes that another gateway has heard of, which follow on this
-  /// one's revision. `settled` is as in TakeCopy.
-  void TakeChanges(const std::vector<StoreEvent>& changes, StoreRevision revision,
-                   TimePoint confirmed, TimePoint settled = {}) {
+  /// Applies changes from a peer, which continue from this copy's revision. For `settled` see
+  /// ApplyCopy().
+  void ApplyChanges(const std::vector<StoreEvent>& changes, StoreRevision revision,
+                    TimePoint confirmed, TimePoint settled = {}) {
     connectivity_.ExtendGrace(settled);
-    TakeEvents(changes, revision);
+    ApplyEvents(changes, revision);
     state_.ConfirmSnapshot(confirmed);
   }
 
-  /// Takes another gateway's copy of the store. `confirmed` is when its
-  /// configuration was the newest for certain; until `settled` registrations may
-  /// come back after an outage that it saw. Older copies change nothing.
-  void TakeCopy(std::vector<StoreItem> items, StoreRevision revision, TimePoint confirmed,
-                TimePoint settled = {}) {
+  /// Applies a peer's copy of the store unless it is older than the own one. The peer's
+  /// configuration was certainly the newest at `confirmed`. Until `settled`, registrations may come
+  /// back after an outage that the peer observed.
+  void ApplyCopy(std::vector<StoreItem> items, StoreRevision revision, TimePoint confirmed,
+                 TimePoint settled = {}) {
     if (revision < revision_) return;
     connectivity_.ExtendGrace(settled);
     if (revision > revision_) {
-      TakeListing(items);
+      ApplyListing(items);
       revision_ = revision;
-      ForgetChanges();
+      ClearChanges();
       listed_ = true;
-      read_once_ = true;
+      loaded_ = true;
     }
     state_.ConfirmSnapshot(confirmed);
   }
 
-  /// Whether the store has been read whole once.
-  bool ready() const { return read_once_; }
+  /// Returns whether the store has been read completely once.
+  bool ready() const { return loaded_; }
   const StoreConnectivity& connectivity() const { return connectivity_; }
 
-  /// Whether the tables are being kept current now.
+  /// Returns whether the routing state is being kept up to date.
   bool connected() const { return listed_ && !connectivity_.failing(); }
 
  private:
-  net::awaitable<void> AwaitRelay() {
+  net::awaitable<void> WaitForRelay() {
     const TimePoint until = Clock::now() + options_.relay_wait;
     while (!stopped_ && !options_.follows_peer() && Clock::now() < until) {
       co_await WaitFor(timer_, options_.peer_poll_interval);
@@ -146,51 +146,51 @@
         RecordFailure("list", page.error(), begun);
         co_return false;
       }
-      // Pages are no snapshot; the watch goes on from before the first.
+      // The pages are not one snapshot, so the watch starts from the revision of the first.
       if (!first_revision) first_revision = page->revision;
       items.insert(items.end(), page->items.begin(), page->items.end());
       more = page->has_more && !page->items.empty();
       if (more) after = page->items.back().key;
     }
     RecordSuccess();
-    // What a peer told while the pages were read stands if it is newer.
-    const bool overtaken = revision_ > std::max(known, *first_revision);
-    if (!overtaken) {
-      TakeListing(items);
+    // Changes from a peer that arrived while the pages were read win if they are newer.
+    const bool superseded = revision_ > std::max(known, *first_revision);
+    if (!superseded) {
+      ApplyListing(items);
       revision_ = *first_revision;
-      ForgetChanges();
+      ClearChanges();
     }
     state_.ConfirmSnapshot(begun);
     listed_ = true;
-    read_once_ = true;
+    loaded_ = true;
     co_return true;
   }
 
-  void TakeListing(const std::vector<StoreItem>& items) {
+  void ApplyListing(const std::vector<StoreItem>& items) {
     const TimePoint now = Clock::now();
-    const StoreItemApplier::Writing writing = WritingOf(now);
+    const StoreItemApplier::WriteTime written = EarliestWriteTime(now);
     std::vector<BackendEntry> backends;
     records_.Clear();
     items_.clear();
-    ForgetChanges();
+    ClearChanges();
     for (const StoreItem& item : items) {
       items_[item.key] = item;
       if (item.key.starts_with(kInstanceKeyPrefix)) {
-        sink_.TakeOwn(item);
+        applier_.ApplyInstanceKey(item);
         continue;
       }
-      Decode(item, [&](DecodedItem fact) {
-        if (auto* entry = std::get_if<BackendEntry>(&fact)) backends.push_back(*entry);
-        sink_.Take(item, std::move(fact), writing);
+      Decode(item, [&](DecodedItem decoded) {
+        if (auto* entry = std::get_if<BackendEntry>(&decoded)) backends.push_back(*entry);
+        applier_.Apply(item, std::move(decoded), written);
       });
     }
-    sink_.ReplaceBackends(backends, connectivity_.GraceForMissing(now), now);
+    applier_.ReplaceBackends(backends, connectivity_.GraceForMissing(now), now);
   }
 
   net::awaitable<void> WatchOnce() {
     const TimePoint begun = Clock::now();
-    // After a failure an answer at once tells that the store is back; followers
-    // of this gateway ask the store themselves until then.
+    // After a failure the watch returns at once, to show early whether the store is back. Until
+    // then, peers that follow this instance ask the store themselves.
     const auto wait =
         connectivity_.failing() ? std::chrono::milliseconds(0) : options_.watch_timeout;
     const StoreResult<WatchResult> answer = co_await store_.Watch("", revision_, wait);
@@ -200,86 +200,89 @@
         listed_ = false;
         co_return;
       }
-      co_await Pause();
+      co_await BackOff();
       co_return;
     }
     RecordSuccess();
     const TimePoint now = Clock::now();
-    TakeEvents(answer->events, answer->revision);
-    // An empty watch that lasted its whole time saw nothing until its end. Of a
-    // later answer only the question's moment is certain.
+    ApplyEvents(answer->events, answer->revision);
+    // An empty watch that lasted its full time saw no change up to its end. If the answer comes
+    // later than that, only the time of the request is certain.
     const auto late = now - begun - wait;
-    const bool waited = answer->events.empty() && late >= Duration::zero() && late <= kPromptAnswer;
+    const bool waited =
+        answer->events.empty() && late >= Duration::zero() && late <= kMaxAnswerDelay;
     state_.ConfirmSnapshot(waited ? begun + wait : begun);
     if (!answer->events.empty()) co_await WaitFor(timer_, options_.batch_delay);
   }
 
-  /// When something heard of at `now` was written at the earliest: bounds count
-  /// from the writing, and news is late by gathering, relays and a slow store.
-  StoreItemApplier::Writing WritingOf(TimePoint now) const {
-    if (!read_once_) return {now - options_.assumed_age, true};
-    // After an outage that says little, and no more than at a start.
-    const bool prompt = now - state_.confirmed_at() <= kPromptNews;
+  /// Returns the earliest time at which an item received at `now` can have been written. Limits
+  /// count from the write, and updates are delayed by batching, relays and slow calls.
+  StoreItemApplier::WriteTime EarliestWriteTime(TimePoint now) const {
+    if (!loaded_) return {now - options_.assumed_age, true};
+    // After an outage the last confirmation says little; the assumption is bounded as at a start.
+    const bool prompt = now - state_.confirmed_at() <= kMaxUpdateDelay;
     return {std::max<TimePoint>(state_.confirmed_at(), now - options_.assumed_age), !prompt};
   }
 
-  /// Takes what is new of an answer. Watches and peers' copies are read at the
-  /// same time, and what one has told already would undo later changes. Changes
-  /// of one transaction share a revision, so it is raised after all of them.
-  void TakeEvents(const std::vector<StoreEvent>& events, StoreRevision revision) {
+  /// Applies the events that are newer than the local copy. Watches and peers' copies are read
+  /// concurrently, and an event that one of them has already delivered would undo later changes.
+  /// Events of one transaction share a revision, so the revision advances after all of them.
+  void ApplyEvents(const std::vector<StoreEvent>& events, StoreRevision revision) {
     const TimePoint now = Clock::now();
-    const StoreItemApplier::Writing writing = WritingOf(now);
+    const StoreItemApplier::WriteTime written = EarliestWriteTime(now);
     for (const StoreEvent& event : events) {
-      if (event.revision > revision_) TakeEvent(event, now, writing);
+      if (event.revision > revision_) ApplyEvent(event, now, written);
     }
     revision_ = std::max(revision_, revision);
   }
 
-  void TakeEvent(const StoreEvent& event, TimePoint now, const StoreItemApplier::Writing& writing) {
-    Remember(event);
+  void ApplyEvent(const StoreEvent& event, TimePoint now,
+                  const StoreItemApplier::WriteTime& written) {
+    KeepChange(event);
     items_.erase(event.key);
     if (event.item) {
       items_[event.key] = *event.item;
-      if (event.key.starts_with(kInstanceKeyPrefix)) return sink_.TakeOwn(*event.item);
-      return Decode(*event.item,
-                    [&](DecodedItem fact) { sink_.Take(*event.item, std::move(fact), writing); });
+      if (event.key.starts_with(kInstanceKeyPrefix)) return applier_.ApplyInstanceKey(*event.item);
+      return Decode(*event.item, [&](DecodedItem decoded) {
+        applier_.Apply(*event.item, std::move(decoded), written);
+      });
     }
-    if (event.key.starts_with(kInstanceKeyPrefix)) return sink_.RemoveOwn(event.key);
+    if (event.key.starts_with(kInstanceKeyPrefix)) return applier_.RemoveInstanceKey(event.key);
     if (const auto id = Codec::BackendOf(event.key)) {
-      sink_.RemoveBackend(*id, connectivity_.GraceForMissing(now), now);
+      applier_.RemoveBackend(*id, connectivity_.GraceForMissing(now), now);
     }
   }
 
-  /// Keeps a change for gateways that follow this one.
-  void Remember(const StoreEvent& event) {
-    recent_.push_back(event);
-    if (recent_.size() <= kMostRecent) return;
-    forgotten_up_to_ = recent_.front().revision;
-    recent_.pop_front();
+  /// Keeps a change for peers that follow this instance.
+  void KeepChange(const StoreEvent& event) {
+    recent_changes_.push_back(event);
+    if (recent_changes_.size() <= kMaxRecentChanges) return;
+    oldest_kept_revision_ = recent_changes_.front().revision;
+    recent_changes_.pop_front();
   }
 
-  void ForgetChanges() {
-    recent_.clear();
-    forgotten_up_to_ = revision_;
+  void ClearChanges() {
+    recent_changes_.clear();
+    oldest_kept_revision_ = revision_;
   }
 
-  template <class Take>
-  void Decode(const StoreItem& item, Take&& take) {
+  template <class Callback>
+  void Decode(const StoreItem& item, Callback&& apply) {
     ValueOr(
         [&]() -> Result<void> {
-          BOOST_LEAF_AUTO(fact, Codec::Decode(item));
-          take(std::move(fact));
+          BOOST_LEAF_AUTO(decoded, Codec::Decode(item));
+          apply(std::move(decoded));
           return {};
         },
         [&](const Failure& failure) {
-          sink_.Reject(item, failure);
-          if (const auto id = Codec::BackendOf(item.key)) sink_.RejectBackend(*id, Clock::now());
+          applier_.Reject(item, failure);
+          if (const auto id = Codec::BackendOf(item.key)) applier_.RejectBackend(*id, Clock::now());
         });
   }
 
   void RecordSuccess() {
     const TimePoint now = Clock::now();
-    pause_ = options_.min_backoff;
+    backoff_ = options_.min_backoff;
     if (const auto since = connectivity_.failing_since()) {
       const auto away = std::chrono::duration_cast<std::chrono::milliseconds>(now - *since);
       Log(LogLevel::kInfo, "store regained", {{"away_ms", std::to_string(away.count())}});
@@ -289,9 +292,9 @@
 
   void RecordFailure(const char* call, StoreError fault, TimePoint begun) {
     state_.metrics().GetCounter("ridgehold_platform_faults").Add();
-    // The store answered; only the history is gone.
+    // Not an outage: the store answered, and only its history was compacted.
     if (fault == StoreError::kCompacted) {
-      Log(LogLevel::kInfo, "store history gone, listing again",
+      Log(LogLevel::kInfo, "store history compacted; listing again",
           {{"revision", std::to_string(revision_.value())}});
       return;
     }
@@ -299,35 +302,35 @@
     Log(LogLevel::kWarn, "store lost", {{"call", call}, {"fault", std::string(NameOf(fault))}});
   }
 
-  net::awaitable<void> Pause() {
-    const std::chrono::milliseconds pause = pause_;
-    pause_ = std::min(pause_ * 2, options_.max_backoff);
-    co_await WaitFor(timer_, pause);
+  net::awaitable<void> BackOff() {
+    const std::chrono::milliseconds backoff = backoff_;
+    backoff_ = std::min(backoff_ * 2, options_.max_backoff);
+    co_await WaitFor(timer_, backoff);
   }
 
-  /// Changes remembered; a large fleet's heartbeats and a rollout make some
-  /// hundred within the half second between two questions of a peer.
-  static constexpr std::size_t kMostRecent = 1'000;
-  /// The store answers in 4 ms. A whole watch's answer that takes longer than
-  /// this beyond its length may have been made early and have lain on its way.
-  static constexpr std::chrono::milliseconds kPromptAnswer{100};
-  /// A watch that works tells within its length and a slow store's answer.
-  static constexpr std::chrono::milliseconds kPromptNews{1'500};
+  /// Number of changes kept for peers. Heartbeats of a large fleet and a rollout together make some
+  /// hundred within the half second between two requests of a peer.
+  static constexpr std::size_t kMaxRecentChanges = 1'000;
+  /// The store answers in 4 ms. The answer to a full-length watch that arrives later than this
+  /// after its end may have been created early and delayed in transit.
+  static constexpr std::chrono::milliseconds kMaxAnswerDelay{100};
+  /// A working watch delivers changes within its length plus the latency of a slow store.
+  static constexpr std::chrono::milliseconds kMaxUpdateDelay{1'500};
 
   Store& store_;
   GatewayState& state_;
   InstanceRecords& records_;
-  StoreItemApplier sink_;
+  StoreItemApplier applier_;
   Options options_;
   Timer timer_;
   StoreConnectivity connectivity_;
   StoreRevision revision_;
   std::map<std::string, StoreItem> items_;
-  std::deque<StoreEvent> recent_;
-  StoreRevision forgotten_up_to_;
-  std::chrono::milliseconds pause_{50};
+  std::deque<StoreEvent> recent_changes_;
+  StoreRevision oldest_kept_revision_;
+  std::chrono::milliseconds backoff_{50};
   bool listed_ = false;
-  bool read_once_ = false;
+  bool loaded_ = false;
   bool stopped_ = false;
 };
 
--- a/libs/control/include/control/state_store.h
+++ b/libs/control/include/control/state_store.h
@@ -1,4 +1,4 @@
-// The concept of the key-value store that keeps what must last, and what it answers.
+// Interface of the key-value store that holds durable state.
 
 #pragma once
 
@@ -17,32 +17,32 @@
 
 namespace ridgehold {
 
-/// The store's counter of changes.
+/// Counter that the store increments with each change.
 using StoreRevision = Strong<struct StoreRevisionTag, std::uint64_t>;
 using StoreLeaseId = Strong<struct StoreLeaseIdTag, std::uint64_t>;
 
-/// Why a call had no result.
+/// Why a call failed.
 enum class StoreError : std::uint8_t {
-  kNotSent,          ///< the store was not reached; nothing was done
-  kUnavailable,      ///< it refused for now; nothing was done
-  kRateLimited,      ///< over the rate; nothing was done
-  kNoAnswer,         ///< sent, and it may have been done, or may be done later
-  kCompacted,        ///< a watch asked for changes that are no longer kept
-  kConditionFailed,  ///< a key had another revision than the condition said
+  kNotSent,          ///< the store was not reached; nothing was applied
+  kUnavailable,      ///< the store refused for now; nothing was applied
+  kRateLimited,      ///< over the rate limit; nothing was applied
+  kNoAnswer,         ///< sent; it may have been applied, or may be later
+  kCompacted,        ///< the changes that a watch asked for are no longer kept
+  kConditionFailed,  ///< a key was not at the expected revision
   kNotFound,         ///< no such key or lease
-  kRejected,         ///< the call itself is at fault
-  kMalformed,        ///< the answer cannot be read
+  kRejected,         ///< the call is invalid
+  kMalformed,        ///< the answer cannot be decoded
 };
 
-/// A fault's name for log lines.
+/// Name of an error in log lines.
 std::string_view NameOf(StoreError fault);
 
-/// A value or a fault. Not LEAF: its failures live in a thread's handler
-/// scope, which a coroutine leaves when it waits.
+/// A value or an error. LEAF is not used since its errors live in a handler scope of the thread,
+/// which a coroutine leaves when it suspends.
 template <class T>
 using StoreResult = boost::system::result<T, StoreError>;
 
-/// A stored key.
+/// A key with its value.
 struct StoreItem {
   std::string key;
   std::string value;
@@ -54,49 +54,49 @@
 struct StorePage {
   std::vector<StoreItem> items;
   bool has_more = false;
-  StoreRevision revision;  ///< the store's, when the page was read
+  StoreRevision revision;  ///< of the store when the page was read
 };
 
-/// One change; without an item the key was removed.
+/// A change of a key; without `item` the key was removed.
 struct StoreEvent {
   std::string key;
   StoreRevision revision;
   std::optional<StoreItem> item;
 };
 
-/// What a watch returns.
+/// Result of a watch.
 struct WatchResult {
   std::vector<StoreEvent> events;
-  StoreRevision revision;  ///< to go on from
+  StoreRevision revision;  ///< from which the next watch continues
 };
 
-/// A key and the revision it must have; 0: it must not exist.
+/// Condition that a key is at `revision`; 0 means that it must not exist.
 struct StoreCondition {
   std::string key;
   StoreRevision revision;
 };
 
-/// A key to write; it goes when its lease ends.
+/// Write of a key, which is removed when its lease expires.
 struct StorePut {
   std::string key;
   std::string value;
   StoreLeaseId lease;  ///< 0: none
 };
 
-/// All or nothing.
+/// Applied atomically if all conditions hold.
 struct StoreTransaction {
   std::vector<StoreCondition> conditions;
   std::vector<StorePut> puts;
   std::vector<std::string> removals;
 };
 
-/// A lease and the time it was granted for.
+/// A lease and the time to live that the store granted.
 struct LeaseGrant {
   StoreLeaseId id;
   std::chrono::milliseconds ttl{0};
 };
 
-/// A client of the store. Calls are coroutines that end within their limits.
+/// A client of the store. Each call is a coroutine that completes within its time limit.
 template <class Store>
 concept StateStore = requires(Store& store, const std::string& text, StoreRevision revision,
                               std::chrono::milliseconds time, const StoreTransaction& transaction,
--- a/libs/control/include/control/store_connectivity.h
+++ b/libs/control/include/control/store_connectivity.h
@@ -1,4 +1,4 @@
-// Whether the store can be relied on: whether calls fail, and whether it has just come back.
+// Tracks outages of the store, and the time that backend servers need to register again after one.
 
 #pragma once
 
@@ -10,56 +10,57 @@
 
 namespace ridgehold {
 
-/// Only calls that failed tell of an outage: a gateway that follows another one
-/// makes none for long. Not thread-safe; time comes in as a value.
+/// An outage is inferred only from failed calls, since an instance that follows a peer makes no
+/// calls for long periods. Not thread-safe; takes the current time as a parameter.
 class StoreConnectivity {
  public:
-  /// After failed calls for this long, registrations may have lapsed unheard.
-  /// Shorter than the backend servers' three heartbeats of 1.2 s.
-  static constexpr std::chrono::milliseconds kOutageThreshold{1'500};
-  /// After the store's return, live backend servers register again within 2 s.
-  static constexpr std::chrono::milliseconds kReregistrationTime{2'300};
+  /// After calls have failed for this long, registrations may have expired unnoticed. Shorter than
+  /// three heartbeats of a backend server, 1.2 s each.
+  static constexpr std::chrono::milliseconds kMinOutage{1'500};
+  /// Time after an outage in which missing registrations may come back: live backend servers
+  /// register again within 2 s.
+  static constexpr std::chrono::milliseconds kGracePeriod{2'300};
 
-  /// The store answered a call.
+  /// Records an answer from the store. If it ends an outage, the grace period starts.
   void RecordSuccess(TimePoint now) {
-    if (failing_since_ && now - *failing_since_ >= kOutageThreshold)
-      ExtendGrace(now + kReregistrationTime);
+    if (failing_since_ && now - *failing_since_ >= kMinOutage) ExtendGrace(now + kGracePeriod);
     failing_since_.reset();
   }
 
-  /// A call sent at `begun` had no answer, or was refused. Returns whether this
-  /// is news.
+  /// Records that a call sent at `begun` had no answer or was refused. Returns true if it is the
+  /// first failure in a row.
   bool RecordFailure(TimePoint begun) {
     if (failing_since_) return false;
     failing_since_ = begun;
     return true;
   }
 
-  /// The store is not asked for now; earlier faults say nothing of that time.
+  /// Clears the failures when the store is no longer called: they say nothing about the time
+  /// without calls.
   void ResetFailures() { failing_since_.reset(); }
 
-  /// The sender of a copy that was taken saw an outage, and registrations may
-  /// come back until `settled`.
-  void ExtendGrace(TimePoint settled) { settled_at_ = std::max(settled_at_, settled); }
+  /// Extends the grace period to `settled`, since the sender of an applied copy observed an outage.
+  void ExtendGrace(TimePoint settled) { grace_end_ = std::max(grace_end_, settled); }
 
   bool failing() const { return failing_since_.has_value(); }
-  /// When the first of the calls that fail now was sent.
+  /// When the first call of the current run of failures was sent.
   std::optional<TimePoint> failing_since() const { return failing_since_; }
 
-  /// How much longer registrations may come back after an outage that was seen.
+  /// Time left in which registrations may come back after an observed outage.
   Duration RemainingGrace(TimePoint now) const {
-    return std::max(Duration::zero(), std::chrono::duration_cast<Duration>(settled_at_ - now));
+    return std::max(Duration::zero(), std::chrono::duration_cast<Duration>(grace_end_ - now));
   }
 
-  /// How much longer a missing registration says nothing. What is heard while
-  /// the own calls fail is from others, who may not have seen the outage.
+  /// Time for which a backend server with a missing registration stays in use. While the own calls
+  /// fail, updates come from peers that may not have observed the outage, so the full grace period
+  /// applies.
   Duration GraceForMissing(TimePoint now) const {
-    return failing() ? Duration(kReregistrationTime) : RemainingGrace(now);
+    return failing() ? Duration(kGracePeriod) : RemainingGrace(now);
   }
 
  private:
   std::optional<TimePoint> failing_since_;
-  TimePoint settled_at_{};
+  TimePoint grace_end_{};
 };
 
 }  // namespace ridgehold
--- a/libs/control/include/control/store_item_applier.h
+++ b/libs/control/include/control/store_item_applier.h
@@ -1,4 +1,4 @@
-// Takes what the store tells into the gateway's tables.
+// Applies decoded store items to the instance's routing state.
 
 #pragma once
 
@@ -13,55 +13,57 @@
 
 namespace ridgehold {
 
-/// One line in the log for each change of belief. Not thread-safe.
+/// Logs one line for each change that it applies. Not thread-safe.
 class StoreItemApplier {
  public:
   StoreItemApplier(GatewayState& state, InstanceRecords& records)
       : state_(state), records_(records) {}
 
-  /// When a fact was written, as far as is known.
-  struct Writing {
+  /// When an item was written to the store, as far as is known.
+  struct WriteTime {
     TimePoint at{};
-    bool assumed = false;  ///< `at` is the earliest possible moment, or a guess
+    bool assumed = false;  ///< `at` is the earliest possible time or a default
   };
 
-  /// Takes a decoded fact; `item` is where it came from.
-  void Take(const StoreItem& item, DecodedItem fact, const Writing& writing);
+  /// Applies `value`, the decoded content of `item`.
+  void Apply(const StoreItem& item, DecodedItem value, const WriteTime& written);
 
-  /// A key of the gateways' own.
-  void TakeOwn(const StoreItem& item);
-  void RemoveOwn(const std::string& key);
+  /// Applies a key that the instances write themselves (kInstanceKeyPrefix).
+  void ApplyInstanceKey(const StoreItem& item);
+  void RemoveInstanceKey(const std::string& key);
 
-  /// A registration is gone; see BackendDirectory::Remove for `grace`.
+  /// Handles a removed registration. The backend server stays in use for `grace`; see
+  /// BackendDirectory::Remove.
   void RemoveBackend(const BackendId& id, Duration grace, TimePoint now);
 
-  /// A registration that cannot be read names nothing to use, whatever it named
-  /// before: no new requests go there from now on.
+  /// Stops sending new requests to a backend server whose registration cannot be decoded, since the
+  /// previous value may no longer hold.
   void RejectBackend(const BackendId& id, TimePoint now);
 
-  /// All registrations of a full listing.
+  /// Replaces all backend servers by the registrations of a full listing. Those that are missing in
+  /// it stay in use for `grace`.
   void ReplaceBackends(const std::vector<BackendEntry>& entries, Duration grace, TimePoint now);
 
-  /// A value that cannot be read; nothing else is touched.
+  /// Counts and logs a value that cannot be decoded. Nothing else changes.
   void Reject(const StoreItem& item, const Failure& failure);
 
  private:
-  void TakeConfig(const StoreItem& item, RoutingParts parts);
-  void TakeWeights(const DesiredWeights& order, const Writing& writing);
-  void TakeBackend(const StoreItem& item, const BackendEntry& entry);
-  void CountMembers();
-  void TakeQuarantine(const StoreItem& item);
-  /// Whether one more line about an unreadable value may be written: a faulty
-  /// writer could fill the log. All are counted in the metrics.
+  void ApplyConfig(const StoreItem& item, RoutingParts parts);
+  void ApplyWeights(const DesiredWeights& order, const WriteTime& written);
+  void ApplyBackend(const StoreItem& item, const BackendEntry& entry);
+  void UpdateMemberCount();
+  void ApplyQuarantine(const StoreItem& item);
+  /// Returns whether another malformed value may be logged. A faulty writer could fill the log; the
+  /// metrics count every value.
   bool MayLogRejection(TimePoint now);
 
   static constexpr std::chrono::seconds kRejectionWindow{10};
-  static constexpr int kMostRejectionLines = 20;  ///< in one window
+  static constexpr int kMaxLoggedRejections = 20;  ///< per kRejectionWindow
 
   GatewayState& state_;
   InstanceRecords& records_;
-  TimePoint rejections_since_{};
-  int rejection_lines_ = 0;
+  TimePoint rejection_window_start_{};
+  int logged_rejections_ = 0;
 };
 
 }  // namespace ridgehold
--- a/libs/control/src/instance_records.cc
+++ b/libs/control/src/instance_records.cc
@@ -26,20 +26,20 @@
 
 void InstanceRecords::Put(const StoreItem& item) {
   items_[item.key] = item;
-  if (item.key.starts_with(kMemberPrefix)) ReadMembers();
+  if (item.key.starts_with(kMemberPrefix)) DecodeMembers();
 }
 
 void InstanceRecords::Remove(const std::string& key) {
   items_.erase(key);
-  if (key.starts_with(kMemberPrefix)) ReadMembers();
+  if (key.starts_with(kMemberPrefix)) DecodeMembers();
 }
 
 void InstanceRecords::Clear() {
   items_.clear();
-  ReadMembers();
+  DecodeMembers();
 }
 
-void InstanceRecords::ReadMembers() {
+void InstanceRecords::DecodeMembers() {
   std::vector<Member> members;
   for (auto at = items_.lower_bound(kMemberPrefix);
        at != items_.end() && at->first.starts_with(kMemberPrefix); ++at) {
@@ -72,10 +72,10 @@
   return relay == members_.end() ? std::nullopt : std::optional(*relay);
 }
 
-std::optional<Member> InstanceRecords::UpstreamRelay(const Member& self,
-                                                     const std::set<std::string>& silent) const {
+std::optional<Member> InstanceRecords::UpstreamRelay(
+    const Member& self, const std::set<std::string>& unresponsive) const {
   const auto usable = [&](const Member& member) {
-    return member.address == self.address || !silent.contains(member.address);
+    return member.address == self.address || !unresponsive.contains(member.address);
   };
   const auto in_zone = std::ranges::find_if(
       members_, [&](const Member& member) { return member.zone == self.zone && usable(member); });
--- a/libs/control/src/load_durations.cc
+++ b/libs/control/src/load_durations.cc
@@ -5,8 +5,9 @@
 namespace ridgehold {
 namespace {
 
-// Twice as many at once must not take nearly twice as long.
-constexpr double kWorthwhile = 0.8;
+// Concurrent loads are worthwhile if they take at most this part of the time that the same loads
+// take one batch after another.
+constexpr double kMaxTimeRatio = 0.8;
 
 }  // namespace
 
@@ -17,18 +18,18 @@
 }
 
 std::uint32_t LoadDurations::MaxUsefulConcurrency(std::uint32_t usual) const {
-  constexpr std::uint32_t kBeyondKnown = 2;
+  constexpr std::uint32_t kExtrapolationFactor = 2;
   std::uint32_t useful = std::max(usual, 1U);
-  if (shortest_.empty()) return kBeyondKnown * useful;
-  const Duration alone = std::ranges::min_element(shortest_, {}, [](const auto& entry) {
-                           return entry.second;
-                         })->second;
+  if (shortest_.empty()) return kExtrapolationFactor * useful;
+  const Duration fastest = std::ranges::min_element(shortest_, {}, [](const auto& entry) {
+                             return entry.second;
+                           })->second;
   for (auto entry = shortest_.upper_bound(useful); entry != shortest_.end(); ++entry) {
-    const double in_turns = static_cast<double>(entry->first) / std::max(usual, 1U);
-    if (entry->second > kWorthwhile * in_turns * alone) return useful;
+    const double batches = static_cast<double>(entry->first) / std::max(usual, 1U);
+    if (entry->second > kMaxTimeRatio * batches * fastest) return useful;
     useful = entry->first;
   }
-  return kBeyondKnown * useful;
+  return kExtrapolationFactor * useful;
 }
 
 }  // namespace ridgehold
--- a/libs/control/src/rollout_plan.cc
+++ b/libs/control/src/rollout_plan.cc
@@ -26,7 +26,7 @@
     }
   }
   std::ranges::stable_sort(steps, {}, [](const RolloutStep& step) {
-    // Those that do not answer now come last.
+    // Engines that fail at present come last.
     return std::tuple(step.engine->failures, step.engine->weights.at(step.model),
                       step.engine->in_flight + step.engine->peers.running);
   });
--- a/libs/control/src/rollout_step_log.cc
+++ b/libs/control/src/rollout_step_log.cc
@@ -12,7 +12,7 @@
   LogFields fields = {{"backend", step.engine->entry.id.value()},
                       {"outcome", times.outcome},
                       {"ms", MillisecondsText(now - times.begun)}};
-  if (times.emptied) fields.push_back({"drain_ms", MillisecondsText(*times.emptied - times.begun)});
+  if (times.drained) fields.push_back({"drain_ms", MillisecondsText(*times.drained - times.begun)});
   if (times.ordered) {
     fields.push_back({"load_ms", MillisecondsText(now - *times.ordered)});
     fields.push_back({"mode", std::string(NameOf(times.mode))});
--- a/libs/control/src/store_item_applier.cc
+++ b/libs/control/src/store_item_applier.cc
@@ -14,13 +14,13 @@
 
 }  // namespace
 
-void StoreItemApplier::Take(const StoreItem& item, DecodedItem fact, const Writing& writing) {
-  if (auto* parts = std::get_if<RoutingParts>(&fact)) return TakeConfig(item, std::move(*parts));
-  if (const auto* order = std::get_if<DesiredWeights>(&fact)) return TakeWeights(*order, writing);
-  if (const auto* entry = std::get_if<BackendEntry>(&fact)) TakeBackend(item, *entry);
+void StoreItemApplier::Apply(const StoreItem& item, DecodedItem value, const WriteTime& written) {
+  if (auto* parts = std::get_if<RoutingParts>(&value)) return ApplyConfig(item, std::move(*parts));
+  if (const auto* order = std::get_if<DesiredWeights>(&value)) return ApplyWeights(*order, written);
+  if (const auto* entry = std::get_if<BackendEntry>(&value)) ApplyBackend(item, *entry);
 }
 
-void StoreItemApplier::TakeConfig(const StoreItem& item, RoutingParts parts) {
+void StoreItemApplier::ApplyConfig(const StoreItem& item, RoutingParts parts) {
   const std::string version = std::to_string(parts.version.value());
   ValueOr(
       [&]() -> Result<void> {
@@ -28,9 +28,9 @@
         const std::size_t routes = snapshot->routes().size();
         std::set<ServiceId> services;
         for (const ServiceRule& service : snapshot->services()) services.insert(service.id);
-        const bool taken = state_.TakeSnapshot(std::move(snapshot));
-        if (taken) state_.directory().SetServices(std::move(services));
-        Log(LogLevel::kInfo, taken ? "configuration taken" : "configuration not newer",
+        const bool applied = state_.TakeSnapshot(std::move(snapshot));
+        if (applied) state_.directory().SetServices(std::move(services));
+        Log(LogLevel::kInfo, applied ? "configuration applied" : "configuration ignored: not newer",
             {{"config", version},
              {"routes", std::to_string(routes)},
              {"store_revision", RevisionText(item)}});
@@ -39,27 +39,28 @@
       [&](const Failure& failure) { Reject(item, failure); });
 }
 
-void StoreItemApplier::TakeWeights(const DesiredWeights& order, const Writing& writing) {
+void StoreItemApplier::ApplyWeights(const DesiredWeights& order, const WriteTime& written) {
   NamedWeights& named = state_.named_weights();
-  if (!named.Take(order.model, order.number, writing.at, writing.assumed)) return;
-  const auto age = std::chrono::duration_cast<Duration>(Clock::now() - writing.at);
+  if (!named.Take(order.model, order.number, written.at, written.assumed)) return;
+  const auto age = std::chrono::duration_cast<Duration>(Clock::now() - written.at);
   Log(LogLevel::kInfo, "weights named",
       {{"model", order.model.value()},
        {"weights", std::to_string(order.number.value())},
        {"age_ms", MillisecondsText(age)},
-       {"age_is", writing.assumed ? "assumed" : "known"}});
+       {"age_is", written.assumed ? "assumed" : "known"}});
 }
 
-void StoreItemApplier::TakeBackend(const StoreItem& item, const BackendEntry& entry) {
+void StoreItemApplier::ApplyBackend(const StoreItem& item, const BackendEntry& entry) {
   const BackendPtr known = state_.directory().Find(entry.id);
   const bool is_new = known == nullptr;
-  const bool drains = entry.draining && (is_new || !known->entry.draining);
+  const bool starts_draining = entry.draining && (is_new || !known->entry.draining);
   const bool returned = !is_new && known->missing_until.has_value();
   const Registration registration = state_.directory().Put(entry);
-  // Its kept connections are the former process's.
+  // The pooled connections belong to the previous process.
   if (registration == Registration::kRestarted) state_.pool().Forget(entry.address);
-  if (registration == Registration::kChanged && !drains && !returned) return;
-  const char* event = drains ? "backend drains" : (is_new ? "backend added" : "backend returned");
+  if (registration == Registration::kChanged && !starts_draining && !returned) return;
+  const char* event =
+      starts_draining ? "backend draining" : (is_new ? "backend added" : "backend returned");
   if (registration == Registration::kRestarted) event = "backend restarted";
   if (registration == Registration::kOutdated) event = "outdated registration ignored";
   Log(LogLevel::kInfo, event,
@@ -71,13 +72,13 @@
        {"store_revision", RevisionText(item)}});
 }
 
-void StoreItemApplier::TakeOwn(const StoreItem& item) {
+void StoreItemApplier::ApplyInstanceKey(const StoreItem& item) {
   records_.Put(item);
-  CountMembers();
-  TakeQuarantine(item);
+  UpdateMemberCount();
+  ApplyQuarantine(item);
 }
 
-void StoreItemApplier::TakeQuarantine(const StoreItem& item) {
+void StoreItemApplier::ApplyQuarantine(const StoreItem& item) {
   const auto request = ParseQuarantineKey(item.key);
   const auto until = DecodeQuarantine(item.value);
   if (!request || !until) return;
@@ -85,16 +86,16 @@
   state_.poison().TakeStored(*request, left, Clock::now());
 }
 
-void StoreItemApplier::RemoveOwn(const std::string& key) {
+void StoreItemApplier::RemoveInstanceKey(const std::string& key) {
   records_.Remove(key);
-  CountMembers();
+  UpdateMemberCount();
 }
 
-void StoreItemApplier::CountMembers() {
+void StoreItemApplier::UpdateMemberCount() {
   const auto members = std::max(static_cast<std::uint32_t>(records_.Members().size()), 1U);
   if (members == state_.gateways()) return;
   state_.SetGateways(members, Clock::now());
-  Log(LogLevel::kInfo, "gateways alive", {{"count", std::to_string(members)}});
+  Log(LogLevel::kInfo, "live instance count changed", {{"count", std::to_string(members)}});
 }
 
 void StoreItemApplier::RejectBackend(const BackendId& id, TimePoint now) {
@@ -121,11 +122,11 @@
 }
 
 bool StoreItemApplier::MayLogRejection(TimePoint now) {
-  if (now - rejections_since_ >= kRejectionWindow) {
-    rejections_since_ = now;
-    rejection_lines_ = 0;
+  if (now - rejection_window_start_ >= kRejectionWindow) {
+    rejection_window_start_ = now;
+    logged_rejections_ = 0;
   }
-  return rejection_lines_++ < kMostRejectionLines;
+  return logged_rejections_++ < kMaxLoggedRejections;
 }
 
 void StoreItemApplier::Reject(const StoreItem& item, const Failure& failure) {
--- a/libs/control/test/instance_records-test.cc
+++ b/libs/control/test/instance_records-test.cc
@@ -13,16 +13,16 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_SUITE(own_records)
+BOOST_AUTO_TEST_SUITE(instance_records)
 
-BOOST_AUTO_TEST_CASE(members_take_turns_in_the_order_of_their_names) {
+BOOST_AUTO_TEST_CASE(members_rank_in_the_order_of_their_names) {
   InstanceRecords records;
   for (const char* name : {"3", "1", "2"}) PutMember(records, name, "a");
   records.Put({kRolloutHolderKey, "1", StoreRevision(2), StoreLeaseId(2)});
   const std::string prefix = kMemberPrefix;
   BOOST_TEST(records.MemberRank(prefix + "1") == 0);
   BOOST_TEST(records.MemberRank(prefix + "3") == 2);
-  // One whose own key is not there yet comes where its name puts it.
+  // A member without a key ranks where its name would sort.
   BOOST_TEST(records.MemberRank(prefix + "4") == 3);
   records.Remove(prefix + "1");
   BOOST_TEST(records.MemberRank(prefix + "3") == 1);
@@ -37,24 +37,24 @@
   BOOST_TEST(!records.ZoneRelay(ZoneId("c")).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(one_gateway_asks_the_store_for_all) {
+BOOST_AUTO_TEST_CASE(one_instance_watches_the_store_for_all) {
   InstanceRecords records;
   for (const char* name : {"1", "2", "3", "4"}) PutMember(records, name, name[0] < '3' ? "a" : "b");
   const auto relay_for = [&](const std::string& name, const std::string& zone,
-                             const std::set<std::string>& silent = {}) {
-    const auto relay = records.UpstreamRelay({"10.0.0." + name, ZoneId(zone)}, silent);
+                             const std::set<std::string>& unresponsive = {}) {
+    const auto relay = records.UpstreamRelay({"10.0.0." + name, ZoneId(zone)}, unresponsive);
     return relay ? relay->address : "";
   };
   BOOST_TEST(relay_for("1", "a") == "");
   BOOST_TEST(relay_for("2", "a") == "10.0.0.1");
   BOOST_TEST(relay_for("3", "b") == "10.0.0.1");
   BOOST_TEST(relay_for("4", "b") == "10.0.0.3");
-  // Passed over, also by the one that is next.
+  // An unresponsive relay is skipped, also by the next member in line.
   BOOST_TEST(relay_for("4", "b", {"10.0.0.3"}) == "10.0.0.1");
   BOOST_TEST(relay_for("3", "b", {"10.0.0.1"}) == "10.0.0.2");
   BOOST_TEST(relay_for("2", "a", {"10.0.0.1"}) == "");
   BOOST_TEST(relay_for("1", "a", {"10.0.0.1"}) == "");
-  // One that is not known yet follows whom it finds.
+  // A member without a key uses the first instance.
   BOOST_TEST(relay_for("9", "c") == "10.0.0.1");
 }
 
--- a/libs/control/test/leased_key-test.cc
+++ b/libs/control/test/leased_key-test.cc
@@ -60,15 +60,15 @@
     return *holders.back();
   }
 
-  /// As good as killed (nothing of it reaches the store), and started again.
-  Holder& Restart(Holder& former, LeasedKey<MemoryStore>::Options options) {
-    former.store.faults.down = true;
+  /// Simulates a kill, in that no call of `former` reaches the store, and a restart.
+  Holder& Restart(Holder& previous, LeasedKey<MemoryStore>::Options options) {
+    previous.store.faults.down = true;
     return AddWith(std::move(options));
   }
 
-  bool MarkedActing() { return table.items().at(kKey).value.ends_with(" acting"); }
+  bool IsMarkedActive() { return table.items().at(kKey).value.ends_with(" acting"); }
 
-  std::size_t CountHeld() const {
+  std::size_t CountHolders() const {
     const TimePoint now = Clock::now();
     return static_cast<std::size_t>(std::ranges::count_if(
         holders, [&](const auto& holder) { return holder->key.IsHeld(now); }));
@@ -77,19 +77,19 @@
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(held_key, Fixture)
+BOOST_FIXTURE_TEST_SUITE(leased_key, Fixture)
 
-BOOST_AUTO_TEST_CASE(one_of_several_gets_the_key_and_keeps_it) {
+BOOST_AUTO_TEST_CASE(one_of_several_acquires_the_key_and_keeps_it) {
   Add(3);
   io.run_for(100ms);
-  BOOST_TEST(CountHeld() == 1);
+  BOOST_TEST(CountHolders() == 1);
   const auto fencing = table.items().at(kKey).revision;
   io.run_for(500ms);
-  BOOST_TEST(CountHeld() == 1);
+  BOOST_TEST(CountHolders() == 1);
   BOOST_TEST((table.items().at(kKey).revision == fencing));
 }
 
-BOOST_AUTO_TEST_CASE(cut_off_holder_stops_before_another_begins) {
+BOOST_AUTO_TEST_CASE(partitioned_holder_stops_before_another_starts) {
   Add(2);
   io.run_for(100ms);
   const std::size_t first = holders[0]->key.IsHeld(Clock::now()) ? 0 : 1;
@@ -97,19 +97,19 @@
   bool gap_seen = false;
   for (int i = 0; i < 100; ++i) {
     io.run_for(5ms);
-    BOOST_TEST(CountHeld() <= 1);
-    gap_seen = gap_seen || CountHeld() == 0;
+    BOOST_TEST(CountHolders() <= 1);
+    gap_seen = gap_seen || CountHolders() == 0;
   }
   BOOST_TEST(gap_seen);
   BOOST_TEST(holders[1 - first]->key.IsHeld(Clock::now()));
   BOOST_TEST(holders[1 - first]->key.fencing_token() > holders[first]->key.fencing_token());
 }
 
-BOOST_AUTO_TEST_CASE(paused_holder_does_not_act_on_a_lapsed_lease) {
+BOOST_AUTO_TEST_CASE(suspended_holder_does_not_act_on_an_expired_lease) {
   Add(1);
   io.run_for(100ms);
   BOOST_TEST(holders[0]->key.IsHeld(Clock::now()));
-  // The process stands still, as a frozen instance does.
+  // The whole process is suspended.
   std::this_thread::sleep_for(250ms);
   BOOST_TEST(!holders[0]->key.IsHeld(Clock::now()));
 }
@@ -127,17 +127,17 @@
   Add(1);
   holders[0]->store.faults.lost_answers = 1;
   io.run_for(100ms);
-  BOOST_TEST(CountHeld() == 0);
+  BOOST_TEST(CountHolders() == 0);
   holders[0]->store.faults.lost_answers = 0;
   io.run_for(400ms);
-  BOOST_TEST(CountHeld() == 1);
+  BOOST_TEST(CountHolders() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(never_two_at_once_while_answers_get_lost_and_writes_come_late) {
+BOOST_AUTO_TEST_CASE(at_most_one_holder_with_lost_answers_and_late_writes) {
   Add(4);
   std::mt19937 random(20261202);
   std::uint64_t last_fencing = 0;
-  std::size_t holdings = 0;
+  std::size_t acquisitions = 0;
   for (int i = 0; i < 400; ++i) {
     for (const auto& holder : holders) {
       StoreFaults& faults = holder->store.faults;
@@ -146,30 +146,31 @@
       if (random() % 40 == 0) faults.down = !faults.down;
     }
     io.run_for(5ms);
-    BOOST_REQUIRE(CountHeld() <= 1);
+    BOOST_REQUIRE(CountHolders() <= 1);
     for (const auto& holder : holders) {
       if (!holder->key.IsHeld(Clock::now())) continue;
       BOOST_REQUIRE(holder->key.fencing_token() >= last_fencing);
-      if (holder->key.fencing_token() > last_fencing) ++holdings;
+      if (holder->key.fencing_token() > last_fencing) ++acquisitions;
       last_fencing = holder->key.fencing_token();
     }
   }
-  BOOST_TEST(holdings > 0);
+  BOOST_TEST(acquisitions > 0);
 }
 
-// Found when an instance that had the rollout duty was killed: it was back half a
-// second later, but waited for its own former lease to end.
-BOOST_AUTO_TEST_CASE(restarted_holder_has_its_own_key_again_at_once) {
+// A restarted instance must reacquire its own key without waiting for its previous lease. Otherwise
+// an instance that held the rollout lock, was killed and was back within half a second waits for
+// itself.
+BOOST_AUTO_TEST_CASE(restarted_holder_reacquires_its_key_at_once) {
   Add(1);
   io.run_for(50ms);
-  BOOST_REQUIRE(CountHeld() == 1);
-  const std::uint64_t former = holders[0]->key.fencing_token();
-  holders[0]->store.faults.down = true;  // as good as killed: nothing of it reaches the store
+  BOOST_REQUIRE(CountHolders() == 1);
+  const std::uint64_t previous = holders[0]->key.fencing_token();
+  holders[0]->store.faults.down = true;  // simulates a kill: no call reaches the store
   Holder restarted(table, io.get_executor(), 0);
   net::co_spawn(io, restarted.key.Run(), net::detached);
   io.run_for(60ms);
   BOOST_TEST(restarted.key.IsHeld(Clock::now()));
-  BOOST_TEST(restarted.key.fencing_token() > former);
+  BOOST_TEST(restarted.key.fencing_token() > previous);
   BOOST_TEST(!holders[0]->key.IsHeld(Clock::now() + 200ms));
 }
 
@@ -179,20 +180,20 @@
   Holder other(table, io.get_executor(), 1);
   net::co_spawn(io, other.key.Run(), net::detached);
   io.run_for(60ms);
-  BOOST_TEST(CountHeld() == 1);
+  BOOST_TEST(CountHolders() == 1);
   BOOST_TEST(!other.key.IsHeld(Clock::now()));
 }
 
-// Protects the former holder's time: its last order may be younger than the separation.
-BOOST_AUTO_TEST_CASE(key_taken_back_from_a_process_that_had_not_acted_waits_the_separation) {
+// The last action of the previous holder may be more recent than the handover delay.
+BOOST_AUTO_TEST_CASE(handover_delay_applies_after_a_predecessor_that_was_not_active) {
   auto options = Holder::Options(0);
   options.handover_delay = 400ms;
-  Holder& former = AddWith(options);
+  Holder& previous = AddWith(options);
   io.run_for(100ms);
-  BOOST_REQUIRE(former.key.IsHeld(Clock::now()));
-  BOOST_REQUIRE(!former.key.MayAct(Clock::now()));
+  BOOST_REQUIRE(previous.key.IsHeld(Clock::now()));
+  BOOST_REQUIRE(!previous.key.MayAct(Clock::now()));
   const TimePoint begun = Clock::now();
-  Holder& restarted = Restart(former, options);
+  Holder& restarted = Restart(previous, options);
   io.run_for(100ms);
   BOOST_REQUIRE(restarted.key.IsHeld(Clock::now()));
   BOOST_TEST((restarted.key.active_from() >= begun + 400ms));
@@ -201,38 +202,38 @@
   BOOST_TEST(restarted.key.MayAct(Clock::now()));
 }
 
-// Protects the meaning of the mark: under it the separation from the holder before is over.
-BOOST_AUTO_TEST_CASE(key_is_marked_as_acting_only_once_its_holder_may_act) {
+// The mark means that the handover delay after the previous holder has passed.
+BOOST_AUTO_TEST_CASE(key_is_marked_active_only_once_its_holder_may_act) {
   auto options = Holder::Options(0);
   options.handover_delay = 300ms;
   Holder& holder = AddWith(options);
   io.run_for(50ms);
   BOOST_REQUIRE(holder.key.IsHeld(Clock::now()));
   for (int i = 0; i < 40; ++i) {
-    BOOST_TEST((!MarkedActing() || holder.key.MayAct(Clock::now())));
+    BOOST_TEST((!IsMarkedActive() || holder.key.MayAct(Clock::now())));
     io.run_for(10ms);
   }
-  BOOST_TEST(MarkedActing());
+  BOOST_TEST(IsMarkedActive());
 }
 
-// Protects the rollout's ten seconds: a holder that had acted goes on after its restart.
-BOOST_AUTO_TEST_CASE(key_taken_back_from_a_process_that_had_acted_acts_at_once) {
+// A rollout has ten seconds, so a holder that was active continues at once after its restart.
+BOOST_AUTO_TEST_CASE(handover_delay_is_skipped_after_a_predecessor_that_was_active) {
   auto options = Holder::Options(0);
   options.handover_delay = 400ms;
-  Holder& former = AddWith(options);
+  Holder& previous = AddWith(options);
   io.run_for(550ms);
-  BOOST_REQUIRE(former.key.MayAct(Clock::now()));
-  BOOST_REQUIRE(MarkedActing());
-  Holder& restarted = Restart(former, options);
+  BOOST_REQUIRE(previous.key.MayAct(Clock::now()));
+  BOOST_REQUIRE(IsMarkedActive());
+  Holder& restarted = Restart(previous, options);
   io.run_for(100ms);
   BOOST_TEST(restarted.key.MayAct(Clock::now()));
-  BOOST_TEST(restarted.key.fencing_token() > former.key.fencing_token());
+  BOOST_TEST(restarted.key.fencing_token() > previous.key.fencing_token());
 }
 
-// Protects the duty from short outages: the lease lives on, so the key stays held.
-BOOST_AUTO_TEST_CASE(renewals_without_an_answer_do_not_give_up_a_key_whose_lease_lives_on) {
+// The lease outlives a short outage of the store, so the key must stay held.
+BOOST_AUTO_TEST_CASE(unanswered_renewals_keep_a_key_whose_lease_is_alive) {
   auto options = Holder::Options(0);
-  options.ttl = 1s;  // renewed each 250 ms
+  options.ttl = 1s;  // renewed every 250 ms
   Holder& holder = AddWith(options);
   io.run_for(50ms);
   BOOST_REQUIRE(holder.key.IsHeld(Clock::now()));
@@ -244,7 +245,7 @@
   holder.store.faults.down = false;
   io.run_for(300ms);
   BOOST_TEST(holder.key.IsHeld(Clock::now()));
-  io.run_for(600ms);  // past the end of the lease as it was before the outage
+  io.run_for(600ms);  // past the expiry of the lease as it was before the outage
   BOOST_TEST(holder.key.IsHeld(Clock::now()));
   BOOST_TEST(holder.key.fencing_token() == fencing);
   BOOST_TEST((holder.key.active_from() == active_from));
--- a/libs/control/test/load_durations-test.cc
+++ b/libs/control/test/load_durations-test.cc
@@ -5,17 +5,17 @@
 using namespace ridgehold;
 using namespace std::chrono_literals;
 
-BOOST_AUTO_TEST_SUITE(load_times)
+BOOST_AUTO_TEST_SUITE(load_durations)
 
-BOOST_AUTO_TEST_CASE(untried_numbers_are_believed_in_up_to_twice_the_known) {
+BOOST_AUTO_TEST_CASE(untried_concurrency_is_assumed_useful_up_to_twice_the_known) {
   LoadDurations times;
   BOOST_TEST(times.MaxUsefulConcurrency(2) == 4U);
   times.Record(4, 710ms);
   BOOST_TEST(times.MaxUsefulConcurrency(2) == 8U);
 }
 
-// The pattern: a rollout that is late. Engines take 0.31 s more for each load beyond two.
-BOOST_AUTO_TEST_CASE(loads_that_share_a_bound_are_not_hurried) {
+// Durations of a late rollout: each load beyond two concurrent ones adds 0.31 s.
+BOOST_AUTO_TEST_CASE(loads_that_share_a_bottleneck_do_not_raise_the_concurrency) {
   LoadDurations times;
   times.Record(1, 709ms);
   times.Record(2, 708ms);
@@ -24,14 +24,14 @@
   BOOST_TEST(times.MaxUsefulConcurrency(2) == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(one_slow_load_of_the_usual_number_says_nothing_of_more) {
+BOOST_AUTO_TEST_CASE(one_slow_load_at_the_usual_concurrency_is_no_limit) {
   LoadDurations times;
   times.Record(1, 700ms);
   times.Record(2, 4s);
   BOOST_TEST(times.MaxUsefulConcurrency(2) == 4U);
 }
 
-BOOST_AUTO_TEST_CASE(nonsense_is_passed_over) {
+BOOST_AUTO_TEST_CASE(invalid_records_are_ignored) {
   LoadDurations times;
   times.Record(0, 1s);
   times.Record(3, 0ms);
--- a/libs/control/test/memory_store.h
+++ b/libs/control/test/memory_store.h
@@ -1,4 +1,4 @@
-// A store in memory that loses answers and goes away when a test says so.
+// In-memory store with fault injection.
 
 #pragma once
 
@@ -17,17 +17,17 @@
 
 namespace ridgehold::test {
 
-/// Faults of the store, or of one client's way to it.
+/// Faults of the store or of one client's connection to it.
 struct StoreFaults {
-  bool down = false;        ///< refuses all calls
-  double lost_answers = 0;  ///< part of the calls that are done and not answered
-  double late_writes = 0;   ///< part of the writes that are done later, unanswered
+  bool down = false;        ///< all calls are refused
+  double lost_answers = 0;  ///< fraction of calls that are applied but not answered
+  double late_writes = 0;  ///< fraction of writes that are applied after `late_by` and not answered
   std::chrono::milliseconds late_by{150};
-  /// Above zero, lists and watches are answered at once and heard of so late.
+  /// If above zero, lists and watches are answered at once and the answer arrives this much later.
   std::chrono::milliseconds late_reads{0};
 };
 
-/// The store itself; clients share it.
+/// The content of the store, shared by its clients.
 class MemoryTable {
  public:
   explicit MemoryTable(net::any_io_executor executor) : executor_(executor) {}
@@ -46,7 +46,7 @@
     history_.push_back({key, StoreRevision(++revision_), std::nullopt});
   }
 
-  /// Changes up to now can no longer be watched.
+  /// Drops the history, so that watches from earlier revisions fail.
   void ForgetHistory() {
     history_.clear();
     first_kept_ = revision_;
@@ -58,7 +58,7 @@
     return id;
   }
 
-  /// Returns the time to live, or nothing when the lease has ended.
+  /// Returns the time to live, or nullopt if the lease has expired.
   std::optional<std::chrono::milliseconds> Renew(std::uint64_t id) {
     ExpireLeases();
     const auto found = leases_.find(id);
@@ -106,7 +106,7 @@
     return items_;
   }
 
-  /// Events after a revision; nothing when they are not kept.
+  /// Returns the events after `revision`, or nullopt if some are no longer kept.
   std::optional<std::vector<StoreEvent>> After(StoreRevision revision) {
     ExpireLeases();
     if (revision.value() < first_kept_) return std::nullopt;
@@ -138,7 +138,7 @@
   MemoryStore(MemoryTable& table, std::uint32_t seed) : table_(table), random_(seed) {}
 
   StoreFaults faults;
-  int watches = 0;  ///< calls of Watch so far
+  int watches = 0;  ///< number of Watch() calls
 
   net::awaitable<StoreResult<StorePage>> List(std::string /*prefix*/, std::string /*after*/) {
     co_await Pause(std::chrono::milliseconds(1));
--- a/libs/control/test/quarantine_writer-test.cc
+++ b/libs/control/test/quarantine_writer-test.cc
@@ -16,14 +16,14 @@
 const RequestFingerprint kRequest(0xabc);
 const std::string kKey = "ridgehold/quarantine/0000000000000abc";
 
-/// One gateway with its way to the store.
-struct Gateway {
-  Gateway(MemoryTable& table, const std::string& name)
-      : store(table, 1), keeper(store, table.executor(), guard, records, Options(name)) {
+/// An instance with its own connection to the store.
+struct Instance {
+  Instance(MemoryTable& table, const std::string& name)
+      : store(table, 1), writer(store, table.executor(), guard, records, Options(name)) {
     for (const char* member : {"a", "b"}) {
       records.Put({kMemberPrefix + std::string(member), "127.0.0.1 z", StoreRevision(1), {}});
     }
-    net::co_spawn(table.executor(), keeper.Run(), net::detached);
+    net::co_spawn(table.executor(), writer.Run(), net::detached);
   }
 
   static QuarantineWriter<MemoryStore>::Options Options(const std::string& name) {
@@ -35,7 +35,7 @@
     return options;
   }
 
-  void End(std::initializer_list<const char*> names) {
+  void FailOn(std::initializer_list<const char*> names) {
     for (const char* name : names) {
       Backend backend;
       backend.entry.id = BackendId(name);
@@ -48,24 +48,24 @@
   PoisonGuard guard{metrics, PoisonRule{}};
   InstanceRecords records;
   MemoryStore store;
-  QuarantineWriter<MemoryStore> keeper;
+  QuarantineWriter<MemoryStore> writer;
 };
 
 struct Fixture {
   net::io_context io;
   MemoryTable table{io.get_executor()};
-  Gateway first{table, "a"};
-  Gateway second{table, "b"};
+  Instance first{table, "a"};
+  Instance second{table, "b"};
 
   bool Stored() { return table.items().contains(kKey); }
 };
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(quarantine_records, Fixture)
+BOOST_FIXTURE_TEST_SUITE(quarantine_writer, Fixture)
 
-BOOST_AUTO_TEST_CASE(gateway_that_decides_writes_at_once) {
-  first.End({"x", "y", "z"});
+BOOST_AUTO_TEST_CASE(deciding_instance_writes_at_once) {
+  first.FailOn({"x", "y", "z"});
   io.run_for(50ms);
   BOOST_REQUIRE(Stored());
   const auto until = DecodeQuarantine(table.items().at(kKey).value);
@@ -76,9 +76,9 @@
   BOOST_TEST(table.items().at(kKey).lease != StoreLeaseId(0));
 }
 
-BOOST_AUTO_TEST_CASE(another_writes_for_one_that_is_gone) {
+BOOST_AUTO_TEST_CASE(another_instance_writes_for_a_dead_one) {
   first.store.faults.down = true;
-  first.End({"x", "y", "z"});
+  first.FailOn({"x", "y", "z"});
   second.guard.Take(first.guard.TakeNews(), Clock::now());
   io.run_for(200ms);
   BOOST_TEST(!Stored());
@@ -86,9 +86,9 @@
   BOOST_TEST(Stored());
 }
 
-BOOST_AUTO_TEST_CASE(store_that_was_away_is_told_later) {
+BOOST_AUTO_TEST_CASE(quarantine_is_written_once_the_store_is_back) {
   first.store.faults.down = true;
-  first.End({"x", "y", "z"});
+  first.FailOn({"x", "y", "z"});
   io.run_for(50ms);
   BOOST_TEST(!Stored());
   first.store.faults.down = false;
@@ -97,7 +97,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(released_request_is_erased) {
-  first.End({"x", "y", "z"});
+  first.FailOn({"x", "y", "z"});
   io.run_for(50ms);
   BOOST_REQUIRE(Stored());
   second.guard.TakeStored(kRequest, 1min, Clock::now());
@@ -107,13 +107,13 @@
   BOOST_TEST(!Stored());
 }
 
-BOOST_AUTO_TEST_CASE(what_was_read_from_the_store_is_not_written_again) {
+BOOST_AUTO_TEST_CASE(quarantine_read_from_the_store_is_not_written_again) {
   first.guard.TakeStored(kRequest, 1min, Clock::now());
   io.run_for(400ms);
   BOOST_TEST(!Stored());
 }
 
-BOOST_AUTO_TEST_CASE(keys_and_values_that_are_none_are_told) {
+BOOST_AUTO_TEST_CASE(malformed_keys_and_values_are_rejected) {
   BOOST_TEST(!ParseQuarantineKey("ridgehold/members/a").has_value());
   BOOST_TEST(!ParseQuarantineKey("ridgehold/quarantine/").has_value());
   BOOST_TEST(!ParseQuarantineKey("ridgehold/quarantine/xyz").has_value());
--- a/libs/control/test/rollout_controller-test.cc
+++ b/libs/control/test/rollout_controller-test.cc
@@ -18,14 +18,14 @@
 
 const ModelId kModel("m");
 
-/// Engines that load in 60 ms unless told otherwise, and can be silent, lose answers, or have long
-/// runs.
+/// Engines that load in `load_time` and can be silent, lose answers, connect slowly, or have long
+/// requests.
 class FakeEngines {
  public:
   struct Engine {
     bool silent = false;
-    std::chrono::milliseconds connecting{0};  ///< before an order can be sent
-    std::chrono::milliseconds runs_last{0};   ///< before a load that lets them end
+    std::chrono::milliseconds connect_time{0};  ///< before an order can be sent
+    std::chrono::milliseconds request_time{0};  ///< before a load that lets requests finish
     WeightsNumber weights{1};
     std::uint64_t orders = 0;
     std::optional<WeightsNumber> loading;
@@ -35,22 +35,22 @@
   };
 
   std::chrono::milliseconds load_time{60};
-  std::chrono::milliseconds call_limit{80};  ///< until a silent engine is given up
+  std::chrono::milliseconds call_timeout{80};  ///< after which a call to a silent engine fails
 
   std::map<BackendId, Engine> engines;
   double lose_answers = 0;
-  std::size_t most_loading = 0;
+  std::size_t max_loading = 0;
   std::vector<TimePoint> ordered_at;
 
   net::awaitable<std::optional<EngineStatus>> FetchStatus(const BackendEntry& entry) {
     Engine& engine = engines[entry.id];
     if (engine.silent) {
-      Timer timer(co_await net::this_coro::executor, call_limit);
+      Timer timer(co_await net::this_coro::executor, call_timeout);
       ErrorCode ignored;
       co_await timer.async_wait(net::redirect_error(net::use_awaitable, ignored));
       co_return std::nullopt;
     }
-    Settle(engine);
+    FinishDueLoad(engine);
     EngineStatus report;
     report.weights[kModel] = engine.weights;
     report.busy = engine.loading.has_value();
@@ -61,13 +61,13 @@
   net::awaitable<OrderOutcome> SendLoadOrder(const BackendEntry& entry, const LoadOrder& load,
                                              const OrderPrecondition& may_order) {
     Engine& engine = engines[entry.id];
-    if (engine.connecting > 0ms) {
-      Timer timer(co_await net::this_coro::executor, engine.connecting);
+    if (engine.connect_time > 0ms) {
+      Timer timer(co_await net::this_coro::executor, engine.connect_time);
       ErrorCode ignored;
       co_await timer.async_wait(net::redirect_error(net::use_awaitable, ignored));
     }
     if (!may_order()) co_return OrderOutcome::kNotSent;
-    Settle(engine);
+    FinishDueLoad(engine);
     ordered_at.push_back(Clock::now());
     if (!engine.first_order) engine.first_order = ordered_at.back();
     if (engine.loading || engine.orders != load.expected_orders_taken) {
@@ -76,15 +76,15 @@
     ++engine.orders;
     engine.loading = load.number;
     engine.loaded_at = Clock::now() + load_time;
-    if (load.mode == ReloadMode::kFinishRequests) engine.loaded_at += engine.runs_last;
+    if (load.mode == ReloadMode::kFinishRequests) engine.loaded_at += engine.request_time;
     engine.accepted.push_back(load);
-    most_loading = std::max(most_loading, CountLoading());
+    max_loading = std::max(max_loading, CountLoading());
     const bool lost = static_cast<double>(engine.accepted.size() % 2) < lose_answers;
     co_return lost ? OrderOutcome::kUnknown : OrderOutcome::kStarted;
   }
 
  private:
-  static void Settle(Engine& engine) {
+  static void FinishDueLoad(Engine& engine) {
     if (!engine.loading || Clock::now() < engine.loaded_at) return;
     engine.weights = *engine.loading;
     engine.loading.reset();
@@ -92,7 +92,7 @@
 
   std::size_t CountLoading() {
     return static_cast<std::size_t>(std::ranges::count_if(engines, [](auto& entry) {
-      Settle(entry.second);
+      FinishDueLoad(entry.second);
       return entry.second.loading.has_value();
     }));
   }
@@ -106,18 +106,18 @@
   MemoryStore store{table, 1};
   FakeEngines engines;
   RolloutController<FakeEngines, MemoryStore>::Options options = RolloutOptions();
-  std::unique_ptr<LeasedKey<MemoryStore>> duty;
+  std::unique_ptr<LeasedKey<MemoryStore>> lock;
   std::unique_ptr<RolloutController<FakeEngines, MemoryStore>> rollout;
   TimePoint started{};
 
   void Start(int count, std::chrono::milliseconds separation = 0ms) {
     for (int i = 0; i < count; ++i) AddEngine("e" + std::to_string(i));
-    duty = std::make_unique<LeasedKey<MemoryStore>>(store, io.get_executor(),
+    lock = std::make_unique<LeasedKey<MemoryStore>>(store, io.get_executor(),
                                                     KeyOptions(separation), [] { return true; });
-    rollout = std::make_unique<RolloutController<FakeEngines, MemoryStore>>(engines, *duty, state,
+    rollout = std::make_unique<RolloutController<FakeEngines, MemoryStore>>(engines, *lock, state,
                                                                             options);
     started = Clock::now();
-    net::co_spawn(io, duty->Run(), net::detached);
+    net::co_spawn(io, lock->Run(), net::detached);
     net::co_spawn(io, rollout->Run(), net::detached);
   }
 
@@ -158,7 +158,7 @@
     engines.engines[entry.id];
   }
 
-  void Name(std::uint64_t number) {
+  void NameWeights(std::uint64_t number) {
     state.named_weights().Take(kModel, WeightsNumber(number), Clock::now());
   }
 
@@ -168,14 +168,15 @@
     });
   }
 
-  void SetBound(std::chrono::milliseconds bound) {
+  void SetDeadline(std::chrono::milliseconds bound) {
     GatewayLimits limits;
     limits.older_weights = bound;
     state.SetLimits(limits);
   }
 
-  /// Nothing begins on older weights once an engine has taken its order.
-  void CheckLiveOnesOrderedBy(TimePoint limit) {
+  /// Checks that each responsive engine got its order before `limit`: no request starts on older
+  /// weights after the engine has accepted its order.
+  void CheckResponsiveOrderedBy(TimePoint limit) {
     for (const auto& [id, engine] : engines.engines) {
       if (engine.silent) continue;
       BOOST_TEST(engine.first_order.has_value(), id.value());
@@ -183,7 +184,8 @@
     }
   }
 
-  /// Engines that do not answer the rollout, and that it would begin with.
+  /// Makes engines silent and idle; the others are busy, so the rollout would begin with the silent
+  /// ones.
   void Silence(std::initializer_list<const char*> ids) {
     for (auto& [id, engine] : state.directory().all()) engine->peers.running = 3;
     for (const char* id : ids) {
@@ -197,63 +199,63 @@
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(rollout, Fixture)
+BOOST_FIXTURE_TEST_SUITE(rollout_controller, Fixture)
 
-BOOST_AUTO_TEST_CASE(all_engines_get_the_newest_weights_two_of_nine_at_a_time) {
+BOOST_AUTO_TEST_CASE(all_engines_load_the_newest_weights_two_of_nine_at_a_time) {
   Start(9);
-  Name(2);
+  NameWeights(2);
   io.run_for(1s);
   BOOST_TEST(AllHave(2));
-  BOOST_TEST(engines.most_loading == 2);
+  BOOST_TEST(engines.max_loading == 2);
   BOOST_TEST(this->rollout->finished());
   for (const auto& [id, engine] : engines.engines) BOOST_TEST(engine.accepted.size() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(nothing_is_ordered_before_the_former_holders_time_is_over) {
+BOOST_AUTO_TEST_CASE(no_order_is_sent_during_the_handover_delay) {
   Start(2, 200ms);
-  Name(2);
+  NameWeights(2);
   io.run_for(600ms);
   BOOST_REQUIRE(!engines.ordered_at.empty());
   BOOST_TEST((engines.ordered_at.front() - started >= 200ms));
 }
 
-// A connection to a slow engine takes up to 0.7 s; an order that went out then could
-// arrive less than the separation before the next holder's.
-BOOST_AUTO_TEST_CASE(order_is_not_sent_when_the_duty_was_lost_while_connecting) {
+// A connection to a slow engine takes up to 0.7 s. An order sent after that without the lock could
+// arrive within the handover delay of the next holder.
+BOOST_AUTO_TEST_CASE(order_is_not_sent_if_the_lock_is_lost_while_connecting) {
   Start(1);
-  engines.engines[BackendId("e0")].connecting = 400ms;
+  engines.engines[BackendId("e0")].connect_time = 400ms;
   io.run_for(50ms);
-  Name(2);
+  NameWeights(2);
   io.run_for(100ms);
   store.faults.down = true;
   io.run_for(700ms);
   BOOST_TEST(engines.ordered_at.empty());
 }
 
-BOOST_AUTO_TEST_CASE(without_the_duty_nothing_is_ordered) {
+BOOST_AUTO_TEST_CASE(no_order_is_sent_without_the_lock) {
   Start(3);
   io.run_for(50ms);
   store.faults.down = true;
   io.run_for(400ms);
-  Name(2);
+  NameWeights(2);
   io.run_for(300ms);
   BOOST_TEST(engines.ordered_at.empty());
 }
 
-// Found on quiet-1: a step waited for weights named after its order.
-BOOST_AUTO_TEST_CASE(rollout_overtaken_by_newer_weights_goes_on_to_those) {
+// Guards against a step that waits for weights that were named after its order.
+BOOST_AUTO_TEST_CASE(rollout_continues_with_weights_named_meanwhile) {
   Start(5);
-  Name(2);
+  NameWeights(2);
   io.run_for(40ms);
-  Name(3);
+  NameWeights(3);
   io.run_for(800ms);
   BOOST_TEST(AllHave(3));
 }
 
-BOOST_AUTO_TEST_CASE(order_without_an_answer_is_not_given_twice) {
+BOOST_AUTO_TEST_CASE(order_without_an_answer_is_not_sent_twice) {
   engines.lose_answers = 1;
   Start(3);
-  Name(2);
+  NameWeights(2);
   io.run_for(800ms);
   BOOST_TEST(AllHave(2));
   for (const auto& [id, engine] : engines.engines) BOOST_TEST(engine.accepted.size() == 1);
@@ -262,7 +264,7 @@
 BOOST_AUTO_TEST_CASE(engine_is_held_until_requests_that_cannot_be_resumed_have_ended) {
   Start(1);
   Engine("e0").peers.unrepeatable = 1;
-  Name(2);
+  NameWeights(2);
   io.run_for(50ms);
   BOOST_TEST(engines.ordered_at.empty());
   BOOST_TEST((Engine("e0").hold_until > Clock::now()));
@@ -274,47 +276,46 @@
   BOOST_TEST((Engine("e0").hold_until <= Clock::now()));
 }
 
-BOOST_AUTO_TEST_CASE(engine_that_does_not_empty_is_ordered_to_let_its_runs_end) {
+BOOST_AUTO_TEST_CASE(engine_that_does_not_drain_finishes_its_requests_before_the_load) {
   Start(1);
   Engine("e0").unrepeatable = 1;
-  Name(2);
+  NameWeights(2);
   io.run_for(400ms);
   BOOST_TEST(AllHave(2));
   BOOST_TEST((engines.engines[BackendId("e0")].accepted[0].mode == ReloadMode::kFinishRequests));
 }
 
-// Incident: requests began on outdated weights past their bound, since engines still had
-// them: ten seconds after the naming the rollout had brought up two of seven.
+// Guards against a rollout that misses its deadline, so that requests start on weights that are too
+// old. Ten seconds after the naming, two of seven engines had been updated.
 //
-// Seen: overload; two engines silent; the holder of the duty killed 1.4 s after the
-// naming, back half a second later. It got the duty again after its own lease had ended,
-// waited 3 s since it might have been another's, then 1.5 s for an engine to empty, then
-// 4 to 5 s for each engine's runs to end. Proved by what each step's line in the log says
-// it waited for. All times here are a tenth of those.
-BOOST_AUTO_TEST_CASE(rollout_keeps_its_bound_under_load_with_silent_engines_and_a_lost_holder) {
+// The conditions: overload, two silent engines, and a lock holder that is killed 1.4 s after the
+// naming and is back half a second later. It waited for its own lease to expire, then 3 s for the
+// handover delay, then 1.5 s for an engine to drain, then 4 s to 5 s for the requests at each
+// engine to finish. Confirmed by the per-step log lines. All times here are a tenth of these.
+BOOST_AUTO_TEST_CASE(deadline_is_met_under_load_with_silent_engines_and_a_killed_lock_holder) {
   GatewayLimits limits;
   limits.older_weights = 1s;
   state.SetLimits(limits);
   Start(9, 300ms);
   for (const char* silent : {"e0", "e1"}) engines.engines[BackendId(silent)].silent = true;
   for (auto& [id, engine] : engines.engines) {
-    engine.runs_last = 450ms;
+    engine.request_time = 450ms;
     Engine(id.value()).peers.unrepeatable = 8;
   }
   io.run_for(400ms);
-  Name(2);
+  NameWeights(2);
   io.run_for(140ms);
-  store.faults.down = true;  // as good as killed
+  store.faults.down = true;  // simulates a kill
   rollout->Stop();
   io.run_for(50ms);
   MemoryStore restarted_store(table, 2);
-  LeasedKey<MemoryStore> restarted_duty(restarted_store, io.get_executor(), KeyOptions(300ms),
+  LeasedKey<MemoryStore> restarted_lock(restarted_store, io.get_executor(), KeyOptions(300ms),
                                         [this] { return !table.items().contains("duty"); });
-  RolloutController<FakeEngines, MemoryStore> restarted(engines, restarted_duty, state,
+  RolloutController<FakeEngines, MemoryStore> restarted(engines, restarted_lock, state,
                                                         RolloutOptions());
-  net::co_spawn(io, restarted_duty.Run(), net::detached);
+  net::co_spawn(io, restarted_lock.Run(), net::detached);
   net::co_spawn(io, restarted.Run(), net::detached);
-  // Nothing begins on the older weights once an engine has taken its order.
+  // No request starts on the older weights once an engine has accepted its order.
   io.run_for(810ms);
   for (const auto& [id, engine] : engines.engines) {
     if (!engine.silent) BOOST_TEST(engine.accepted.size() == 1, id.value());
@@ -325,93 +326,93 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(draining_engine_is_left_alone) {
+BOOST_AUTO_TEST_CASE(draining_engine_gets_no_order) {
   Start(2);
   BackendEntry entry = Engine("e0").entry;
   entry.draining = true;
   state.directory().Put(entry);
-  Name(2);
+  NameWeights(2);
   io.run_for(400ms);
   BOOST_TEST(engines.engines[BackendId("e0")].accepted.empty());
   BOOST_TEST((Engine("e1").weights.at(kModel) == WeightsNumber(2)));
 }
 
-// Protects the bound where little time is left: two of nine at a time would take till 0.8 s.
-BOOST_AUTO_TEST_CASE(more_engines_load_at_once_when_the_usual_pace_would_miss_the_bound) {
+// With 0.7 s until the deadline, two of nine engines at a time would take 0.8 s.
+BOOST_AUTO_TEST_CASE(concurrency_rises_when_the_default_would_miss_the_deadline) {
   engines.load_time = 200ms;
   options.expected_load = 230ms;
-  SetBound(700ms);
+  SetDeadline(700ms);
   Start(9);
   io.run_for(50ms);
-  const TimePoint named = Clock::now();
-  Name(2);
+  const TimePoint named_at = Clock::now();
+  NameWeights(2);
   io.run_for(1s);
-  CheckLiveOnesOrderedBy(named + 700ms);
-  BOOST_TEST(engines.most_loading > 2);
+  CheckResponsiveOrderedBy(named_at + 700ms);
+  BOOST_TEST(engines.max_loading > 2);
 }
 
-// Protects the pace: calls to silent engines last long, and take no turn meanwhile.
-BOOST_AUTO_TEST_CASE(silent_engines_keep_no_turn_while_they_are_waited_for) {
-  engines.call_limit = 1s;
+// Calls to silent engines take long, and must not count against the concurrency meanwhile.
+BOOST_AUTO_TEST_CASE(silent_engines_do_not_count_against_the_concurrency) {
+  engines.call_timeout = 1s;
   Start(9);
   Silence({"e3", "e4"});
   io.run_for(50ms);
-  const TimePoint named = Clock::now();
-  Name(2);
+  const TimePoint named_at = Clock::now();
+  NameWeights(2);
   io.run_for(900ms);
-  CheckLiveOnesOrderedBy(named + 900ms);
+  CheckResponsiveOrderedBy(named_at + 900ms);
 }
 
-// Protects the pace: engines that fail at once, though their requests succeed, are left
-// alone for a while; else they would be begun with at each look.
-BOOST_AUTO_TEST_CASE(engines_that_give_no_report_are_left_alone_for_a_while) {
-  engines.call_limit = 1ms;
+// Status requests that fail at once, although requests to the engine succeed, must back off.
+// Otherwise the rollout would start with these engines at each poll.
+BOOST_AUTO_TEST_CASE(engines_without_a_report_are_backed_off) {
+  engines.call_timeout = 1ms;
   Start(9);
   Silence({"e3", "e4"});
   io.run_for(50ms);
-  const TimePoint named = Clock::now();
-  Name(2);
+  const TimePoint named_at = Clock::now();
+  NameWeights(2);
   for (int i = 0; i < 400; ++i) {
     io.run_for(2ms);
     for (const char* silent : {"e3", "e4"}) BackendDirectory::NoteSuccess(Engine(silent));
   }
-  CheckLiveOnesOrderedBy(named + 800ms);
+  CheckResponsiveOrderedBy(named_at + 800ms);
 }
 
-// Protects the bound from requests that do not end: an engine is emptied only while time is left.
-BOOST_AUTO_TEST_CASE(engine_that_does_not_empty_is_ordered_before_the_bound) {
+// Requests that do not end must not delay the order beyond the deadline.
+BOOST_AUTO_TEST_CASE(engine_that_does_not_drain_is_ordered_before_the_deadline) {
   options.max_drain = 800ms;
-  SetBound(600ms);
+  SetDeadline(600ms);
   Start(1);
   Engine("e0").unrepeatable = 1;
   io.run_for(50ms);
-  const TimePoint named = Clock::now();
-  Name(2);
+  const TimePoint named_at = Clock::now();
+  NameWeights(2);
   io.run_for(1s);
-  CheckLiveOnesOrderedBy(named + 600ms);
+  CheckResponsiveOrderedBy(named_at + 600ms);
 }
 
-// Protects the time after a change of holders: engines are emptied during the separation.
-BOOST_AUTO_TEST_CASE(engine_is_empty_when_the_new_holder_may_order) {
+// Engines drain during the handover delay, so the first order goes out right after it.
+BOOST_AUTO_TEST_CASE(engine_drains_during_the_handover_delay) {
   options.max_drain = 300ms;
   Start(1, 500ms);
   Engine("e0").unrepeatable = 1;
-  Name(2);
+  NameWeights(2);
   io.run_for(50ms);
-  const TimePoint active_from = duty->active_from();
+  const TimePoint active_from = lock->active_from();
   io.run_for(950ms);
   BOOST_REQUIRE(!engines.ordered_at.empty());
   BOOST_TEST((engines.ordered_at.front() >= active_from));
-  CheckLiveOnesOrderedBy(active_from + 200ms);
+  CheckResponsiveOrderedBy(active_from + 200ms);
 }
 
-// Protects an emptied engine from new requests for as long as it waits for its turn.
-BOOST_AUTO_TEST_CASE(engine_stays_held_while_it_waits_long_for_its_turn) {
+// A drained engine must get no new requests while it waits for its turn to load.
+BOOST_AUTO_TEST_CASE(engine_stays_held_while_it_waits_to_load) {
   engines.load_time = 800ms;
   options.hold_duration = 200ms;
   Start(2);
   io.run_for(50ms);
-  Name(2);
+  NameWeights(2);
   io.run_for(150ms);
   BOOST_REQUIRE(engines.engines[BackendId("e0")].first_order.has_value());
   BOOST_REQUIRE((Engine("e1").hold_until > Clock::now()));
--- a/libs/control/test/state_follower-test.cc
+++ b/libs/control/test/state_follower-test.cc
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// Keys `config/N`, `weights/N`, `backend/ID`; a value of `bad` cannot be read,
-/// a backend server's may be `draining`.
+/// Keys are `config`, `weights` and `backend/ID`. The value `bad` is malformed; a backend server's
+/// value may be `draining`.
 struct TestCodec {
   static Result<DecodedItem> Decode(const StoreItem& item) {
     if (item.value == "bad") return Fail(ResultCode::kPlatformMalformed, "bad");
@@ -71,15 +71,15 @@
   }
   bool Has(const std::string& id) { return state.directory().Find(BackendId(id)) != nullptr; }
 
-  /// What another gateway, which hears everything at once, would tell now.
-  void TakeChangesOfPeer() {
+  /// Applies the changes, or the copy, that an up-to-date peer would send now.
+  void ApplyChangesOfPeer() {
     const StoreRevision known = follower->revision();
-    follower->TakeChanges(*table.After(known), StoreRevision(table.revision()), Clock::now());
+    follower->ApplyChanges(*table.After(known), StoreRevision(table.revision()), Clock::now());
   }
-  void TakeCopyOfPeer() {
+  void ApplyCopyOfPeer() {
     std::vector<StoreItem> items;
     for (const auto& [key, item] : table.items()) items.push_back(item);
-    follower->TakeCopy(std::move(items), StoreRevision(table.revision()), Clock::now());
+    follower->ApplyCopy(std::move(items), StoreRevision(table.revision()), Clock::now());
   }
 };
 
@@ -87,7 +87,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(state_follower, Fixture)
 
-BOOST_AUTO_TEST_CASE(listing_and_changes_are_taken) {
+BOOST_AUTO_TEST_CASE(listing_and_changes_are_applied) {
   table.Put("config", "3");
   table.Put("backend/b1", "x");
   Start();
@@ -102,7 +102,7 @@
   BOOST_TEST(!Has("b1"));
 }
 
-BOOST_AUTO_TEST_CASE(many_changes_in_a_row_cost_few_calls_and_none_is_missed) {
+BOOST_AUTO_TEST_CASE(changes_in_quick_succession_are_batched_and_none_is_missed) {
   batch_delay = 150ms;
   options.watch_timeout = 5s;
   table.Put("config", "1");
@@ -125,7 +125,7 @@
   BOOST_TEST(Config() == 5);
 }
 
-BOOST_AUTO_TEST_CASE(malformed_value_touches_nothing_else) {
+BOOST_AUTO_TEST_CASE(malformed_value_affects_nothing_else) {
   table.Put("backend/b1", "bad");
   table.Put("backend/b2", "x");
   table.Put("config", "2");
@@ -140,7 +140,7 @@
   BOOST_TEST(metrics.GetCounter("ridgehold_malformed_facts").value() == 2);
 }
 
-BOOST_AUTO_TEST_CASE(registration_that_cannot_be_read_any_more_names_nothing_to_use) {
+BOOST_AUTO_TEST_CASE(backend_whose_registration_becomes_malformed_is_not_used) {
   table.Put("backend/b1", "x");
   table.Put("backend/b2", "x");
   Start();
@@ -154,12 +154,12 @@
   BOOST_TEST(Has("b1"));
 }
 
-BOOST_AUTO_TEST_CASE(unreadable_registration_in_a_list_is_not_used_on) {
+BOOST_AUTO_TEST_CASE(malformed_registration_in_a_listing_removes_its_backend) {
   table.Put("backend/b1", "x");
   table.Put("backend/b2", "x");
   Start();
   store.faults.down = true;
-  io.run_for(StoreConnectivity::kOutageThreshold + 200ms);
+  io.run_for(StoreConnectivity::kMinOutage + 200ms);
   table.Put("backend/b1", "bad");
   table.ForgetHistory();
   store.faults.down = false;
@@ -168,31 +168,31 @@
   BOOST_TEST(Has("b2"));
 }
 
-BOOST_AUTO_TEST_CASE(unreadable_registration_in_a_peers_copy_is_not_used_on) {
+BOOST_AUTO_TEST_CASE(malformed_registration_in_a_peers_copy_removes_its_backend) {
   table.Put("backend/b1", "x");
   table.Put("backend/b2", "x");
   Start();
   store.faults.down = true;
   io.run_for(50ms);
   table.Put("backend/b1", "bad");
-  TakeChangesOfPeer();
+  ApplyChangesOfPeer();
   BOOST_TEST(!Has("b1"));
   BOOST_TEST(Has("b2"));
   table.Put("backend/b2", "bad");
   table.Put("backend/b3", "x");
-  TakeCopyOfPeer();
+  ApplyCopyOfPeer();
   BOOST_TEST(!Has("b2"));
   BOOST_TEST(Has("b3"));
 }
 
-BOOST_AUTO_TEST_CASE(unreadable_values_are_counted_and_their_lines_bounded) {
+BOOST_AUTO_TEST_CASE(malformed_values_are_counted_and_their_log_lines_limited) {
   Start();
   for (int i = 0; i < 60; ++i) table.Put("backend/b" + std::to_string(i), "bad");
   io.run_for(100ms);
   BOOST_TEST(metrics.GetCounter("ridgehold_malformed_facts").value() == 60);
 }
 
-BOOST_AUTO_TEST_CASE(forgotten_history_leads_to_a_new_listing) {
+BOOST_AUTO_TEST_CASE(compacted_history_leads_to_a_new_listing) {
   table.Put("backend/b1", "x");
   Start();
   store.faults.down = true;
@@ -216,11 +216,11 @@
   BOOST_TEST((Clock::now() - state.confirmed_at() > 250ms));
 }
 
-BOOST_AUTO_TEST_CASE(registration_missing_after_an_outage_is_used_on_for_a_while) {
+BOOST_AUTO_TEST_CASE(registration_missing_after_an_outage_has_a_grace_period) {
   table.Put("backend/b1", "x");
   Start();
   store.faults.down = true;
-  io.run_for(StoreConnectivity::kOutageThreshold + 200ms);
+  io.run_for(StoreConnectivity::kMinOutage + 200ms);
   table.Remove("backend/b1");
   store.faults.down = false;
   io.run_for(300ms);
@@ -229,17 +229,17 @@
   BOOST_TEST(state.directory().Usable(ServiceId("s"), Clock::now()).size() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(copy_of_a_peer_is_taken_only_when_it_is_newer) {
+BOOST_AUTO_TEST_CASE(peers_copy_is_applied_only_if_it_is_newer) {
   table.Put("config", "3");
   Start();
   const TimePoint now = Clock::now();
   const auto item = [](const std::string& version) {
     return StoreItem{"config", version, StoreRevision(9), {}};
   };
-  follower->TakeCopy({item("2")}, StoreRevision(0), now + 1s);
+  follower->ApplyCopy({item("2")}, StoreRevision(0), now + 1s);
   BOOST_TEST(Config() == 3);
   BOOST_TEST((state.confirmed_at() < now + 1s));
-  follower->TakeCopy({item("7")}, StoreRevision(9), now + 1s);
+  follower->ApplyCopy({item("7")}, StoreRevision(9), now + 1s);
   BOOST_TEST(Config() == 7);
   BOOST_TEST((state.confirmed_at() == now + 1s));
 }
@@ -272,7 +272,7 @@
   BOOST_TEST(records.ZoneRelay(ZoneId("z2"))->address == "127.0.0.4");
 }
 
-BOOST_AUTO_TEST_CASE(another_gateway_can_follow_the_changes_it_has_heard_of) {
+BOOST_AUTO_TEST_CASE(peer_can_follow_the_changes_of_a_follower) {
   table.Put("config", "3");
   Start();
   const StoreRevision before = follower->revision();
@@ -288,14 +288,14 @@
   GatewayState other{io.get_executor(), ZoneId("a"), {}, {}, metrics};
   InstanceRecords other_records;
   Follower second(store, other, other_records, {});
-  second.TakeCopy({{"config", "3", before, {}}}, before, Clock::now());
-  second.TakeChanges(*changes, follower->revision(), Clock::now());
+  second.ApplyCopy({{"config", "3", before, {}}}, before, Clock::now());
+  second.ApplyChanges(*changes, follower->revision(), Clock::now());
   BOOST_TEST((other.snapshot()->version() == ConfigVersion(5)));
   BOOST_TEST((other.directory().Find(BackendId("b1")) == nullptr));
   BOOST_TEST((second.revision() == follower->revision()));
 }
 
-BOOST_AUTO_TEST_CASE(follower_of_a_peer_leaves_the_store_alone) {
+BOOST_AUTO_TEST_CASE(follower_of_a_peer_does_not_call_the_store) {
   options.follows_peer = [] { return true; };
   options.peer_poll_interval = 5ms;
   table.Put("config", "3");
@@ -306,8 +306,8 @@
   BOOST_TEST(Config() == 3);
 }
 
-// Bounds count from the writing, and news is late: here by the pause after other news.
-BOOST_AUTO_TEST_CASE(naming_counts_from_before_it_was_written) {
+// Limits count from the write. Here the pause after an earlier change delays the update.
+BOOST_AUTO_TEST_CASE(age_of_weights_counts_from_before_their_write) {
   batch_delay = 150ms;
   Start();
   table.Put("backend/b1", "x");
@@ -321,7 +321,7 @@
   BOOST_TEST((*since >= written - 200ms));
 }
 
-BOOST_AUTO_TEST_CASE(late_answer_of_a_watch_undoes_nothing_that_a_peer_told) {
+BOOST_AUTO_TEST_CASE(late_watch_answer_does_not_undo_changes_from_a_peer) {
   table.Put("backend/b1", "draining");
   Start();
   store.faults.late_reads = 80ms;
@@ -331,7 +331,7 @@
   table.Put("backend/b1", "draining");
   table.Remove("backend/b2");
   const StoreRevision before = follower->revision();
-  TakeChangesOfPeer();
+  ApplyChangesOfPeer();
   io.run_for(80ms);
   BOOST_TEST(state.directory().Find(BackendId("b1"))->entry.draining);
   BOOST_TEST(!Has("b2"));
@@ -339,25 +339,25 @@
   BOOST_TEST(follower->ChangesAfter(before)->size() == 4);
 }
 
-BOOST_AUTO_TEST_CASE(changes_of_a_transaction_are_all_taken) {
+BOOST_AUTO_TEST_CASE(all_changes_of_a_transaction_are_applied) {
   table.Put("backend/b1", "x");
   Start();
   const StoreRevision revision(table.revision() + 1);
   const std::vector<StoreEvent> changes = {
       {"backend/b1", revision, std::nullopt},
       {"backend/b2", revision, StoreItem{"backend/b2", "x", revision, {}}}};
-  follower->TakeChanges(changes, revision, Clock::now());
+  follower->ApplyChanges(changes, revision, Clock::now());
   BOOST_TEST(!Has("b1"));
   BOOST_TEST(Has("b2"));
 }
 
-BOOST_AUTO_TEST_CASE(listing_older_than_a_copy_taken_meanwhile_changes_nothing) {
+BOOST_AUTO_TEST_CASE(listing_older_than_a_peers_copy_applied_meanwhile_is_ignored) {
   store.faults.late_reads = 80ms;
   table.Put("backend/b1", "x");
   Start();
   table.Put("backend/b1", "draining");
   table.Put("backend/b2", "x");
-  TakeCopyOfPeer();
+  ApplyCopyOfPeer();
   const StoreRevision taken = follower->revision();
   io.run_for(60ms);
   BOOST_TEST((follower->revision() == taken));
@@ -365,34 +365,34 @@
   BOOST_TEST(Has("b2"));
 }
 
-BOOST_AUTO_TEST_CASE(registration_missing_in_a_copy_is_used_on_while_the_own_calls_fail) {
+BOOST_AUTO_TEST_CASE(registration_missing_in_a_copy_has_a_grace_period_while_own_calls_fail) {
   store.faults.down = true;
   Start();
   table.Put("backend/b1", "x");
   table.Put("backend/b2", "x");
-  TakeCopyOfPeer();
+  ApplyCopyOfPeer();
   table.Remove("backend/b1");
-  TakeChangesOfPeer();
+  ApplyChangesOfPeer();
   BOOST_REQUIRE(Has("b1"));
   BOOST_TEST(state.directory().Find(BackendId("b1"))->missing_until.has_value());
   table.Remove("backend/b2");
-  TakeCopyOfPeer();
+  ApplyCopyOfPeer();
   BOOST_TEST(Has("b2"));
 }
 
-BOOST_AUTO_TEST_CASE(registration_missing_after_an_outage_that_the_sender_saw_is_used_on) {
+BOOST_AUTO_TEST_CASE(registration_missing_after_an_outage_seen_by_the_sender_has_a_grace_period) {
   options.follows_peer = [] { return true; };
   table.Put("backend/b1", "x");
   table.Put("backend/b2", "x");
   Start();
   const TimePoint settled = Clock::now() + 1s;
   table.Remove("backend/b1");
-  follower->TakeChanges(*table.After(follower->revision()), StoreRevision(table.revision()),
-                        Clock::now(), settled);
+  follower->ApplyChanges(*table.After(follower->revision()), StoreRevision(table.revision()),
+                         Clock::now(), settled);
   BOOST_REQUIRE(Has("b1"));
   BOOST_TEST((*state.directory().Find(BackendId("b1"))->missing_until <= settled));
   table.Remove("backend/b2");
-  follower->TakeCopy({}, StoreRevision(table.revision()), Clock::now(), settled);
+  follower->ApplyCopy({}, StoreRevision(table.revision()), Clock::now(), settled);
   BOOST_TEST(Has("b2"));
 }
 
@@ -403,7 +403,7 @@
   table.Put("backend/b1", "x");
   Start();
   follows = true;
-  io.run_for(StoreConnectivity::kOutageThreshold + 200ms);
+  io.run_for(StoreConnectivity::kMinOutage + 200ms);
   follows = false;
   store.faults.down = true;
   io.run_for(60ms);
@@ -422,7 +422,7 @@
   store.faults.down = true;
   io.run_for(60ms);
   follows = true;
-  io.run_for(StoreConnectivity::kOutageThreshold + 200ms);
+  io.run_for(StoreConnectivity::kMinOutage + 200ms);
   follows = false;
   store.faults.down = false;
   table.Remove("backend/b1");
@@ -430,7 +430,7 @@
   BOOST_TEST(!Has("b1"));
 }
 
-BOOST_AUTO_TEST_CASE(empty_answer_of_a_watch_that_comes_late_confirms_only_its_question) {
+BOOST_AUTO_TEST_CASE(late_empty_watch_answer_confirms_only_the_time_of_its_request) {
   table.Put("config", "1");
   Start();
   store.faults.late_reads = 250ms;
@@ -444,7 +444,7 @@
   BOOST_TEST(Config() == 2);
 }
 
-BOOST_AUTO_TEST_CASE(return_of_the_store_is_noticed_before_a_watch_has_passed) {
+BOOST_AUTO_TEST_CASE(recovery_of_the_store_is_noticed_before_a_watch_times_out) {
   watch_timeout = 5s;
   Start();
   store.faults.down = true;
--- a/libs/control/test/store_connectivity-test.cc
+++ b/libs/control/test/store_connectivity-test.cc
@@ -11,15 +11,15 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_SUITE(store_contact)
+BOOST_AUTO_TEST_SUITE(store_connectivity)
 
-BOOST_AUTO_TEST_CASE(missing_registration_is_news_while_the_store_answers) {
+BOOST_AUTO_TEST_CASE(no_grace_while_the_store_answers) {
   StoreConnectivity connectivity;
   connectivity.RecordSuccess(kStart);
   BOOST_TEST((connectivity.GraceForMissing(kStart) == Duration::zero()));
 }
 
-BOOST_AUTO_TEST_CASE(short_fault_such_as_a_cut_watch_gives_no_grace) {
+BOOST_AUTO_TEST_CASE(no_grace_after_a_short_failure_such_as_a_broken_watch) {
   StoreConnectivity connectivity;
   connectivity.RecordSuccess(kStart);
   BOOST_TEST(connectivity.RecordFailure(kStart));
@@ -28,19 +28,18 @@
   BOOST_TEST((connectivity.GraceForMissing(kStart + 1s) == Duration::zero()));
 }
 
-BOOST_AUTO_TEST_CASE(return_after_an_outage_gives_registrations_time_to_come_back) {
+BOOST_AUTO_TEST_CASE(grace_after_an_outage_lets_registrations_come_back) {
   StoreConnectivity connectivity;
   connectivity.RecordSuccess(kStart);
   connectivity.RecordFailure(kStart);
   const TimePoint back = kStart + 5s;
   connectivity.RecordSuccess(back);
-  BOOST_TEST((connectivity.GraceForMissing(back) == StoreConnectivity::kReregistrationTime));
-  BOOST_TEST(
-      (connectivity.GraceForMissing(back + 1s) == StoreConnectivity::kReregistrationTime - 1s));
+  BOOST_TEST((connectivity.GraceForMissing(back) == StoreConnectivity::kGracePeriod));
+  BOOST_TEST((connectivity.GraceForMissing(back + 1s) == StoreConnectivity::kGracePeriod - 1s));
   BOOST_TEST((connectivity.GraceForMissing(back + 3s) == Duration::zero()));
 }
 
-BOOST_AUTO_TEST_CASE(outage_is_as_long_as_calls_failed_and_not_as_the_last_answer_is_old) {
+BOOST_AUTO_TEST_CASE(outage_lasts_from_the_first_failed_call_and_not_from_the_last_answer) {
   StoreConnectivity connectivity;
   connectivity.RecordSuccess(kStart);
   connectivity.RecordFailure(kStart + 60s);
@@ -53,15 +52,15 @@
   BOOST_TEST((connectivity.GraceForMissing(kStart + 81s) == Duration::zero()));
 }
 
-BOOST_AUTO_TEST_CASE(store_that_was_never_reached_gives_full_grace) {
+BOOST_AUTO_TEST_CASE(full_grace_while_the_store_was_never_reached) {
   StoreConnectivity connectivity;
   connectivity.RecordFailure(kStart);
-  BOOST_TEST((connectivity.GraceForMissing(kStart) == StoreConnectivity::kReregistrationTime));
-  // Only an outage that has ended is told to others.
+  BOOST_TEST((connectivity.GraceForMissing(kStart) == StoreConnectivity::kGracePeriod));
+  // Peers are told only of an outage that has ended.
   BOOST_TEST((connectivity.RemainingGrace(kStart) == Duration::zero()));
 }
 
-BOOST_AUTO_TEST_CASE(outage_that_the_sender_of_a_copy_saw_counts_as_an_own_one) {
+BOOST_AUTO_TEST_CASE(outage_observed_by_the_sender_of_a_copy_counts) {
   StoreConnectivity connectivity;
   connectivity.RecordSuccess(kStart);
   connectivity.ExtendGrace(kStart + 2s);
--- a/libs/peers/include/peers/store_copy_reader.h
+++ b/libs/peers/include/peers/store_copy_reader.h
@@ -27,8 +27,8 @@
                              const std::vector<StoreEvent>& changes, StoreRevision revision,
                              TimePoint confirmed, TimePoint settled) {
   { follower.revision() } -> std::convertible_to<StoreRevision>;
-  follower.TakeCopy(std::move(items), revision, confirmed, settled);
-  follower.TakeChanges(changes, revision, confirmed, settled);
+  follower.ApplyCopy(std::move(items), revision, confirmed, settled);
+  follower.ApplyChanges(changes, revision, confirmed, settled);
 };
 
 /// Asks the zone's relay regularly; and any peer once the configuration has
@@ -132,9 +132,9 @@
            {"age_ms", std::to_string(copy->age.count())}});
     }
     if (copy->whole) {
-      follower_.TakeCopy(ItemsOf(std::move(*copy)), copy->revision, confirmed, settled);
+      follower_.ApplyCopy(ItemsOf(std::move(*copy)), copy->revision, confirmed, settled);
     } else {
-      follower_.TakeChanges(copy->changes, copy->revision, confirmed, settled);
+      follower_.ApplyChanges(copy->changes, copy->revision, confirmed, settled);
     }
   }
 
--- a/test/store_copy_reader-test.cc
+++ b/test/store_copy_reader-test.cc
@@ -21,13 +21,13 @@
   TimePoint settled{};
 
   StoreRevision revision() const { return known; }
-  void TakeCopy(const std::vector<StoreItem>& /*items*/, StoreRevision revision,
-                TimePoint /*confirmed*/, TimePoint until) {
+  void ApplyCopy(const std::vector<StoreItem>& /*items*/, StoreRevision revision,
+                 TimePoint /*confirmed*/, TimePoint until) {
     known = revision;
     settled = until;
   }
-  void TakeChanges(const std::vector<StoreEvent>& /*changes*/, StoreRevision revision,
-                   TimePoint /*confirmed*/, TimePoint until) {
+  void ApplyChanges(const std::vector<StoreEvent>& /*changes*/, StoreRevision revision,
+                    TimePoint /*confirmed*/, TimePoint until) {
     known = revision;
     settled = until;
   }
