--- a/libs/control/include/control/leased_key.h
+++ b/libs/control/include/control/leased_key.h
@@ -128,7 +128,7 @@
 
   /// Acquires the key if it is at `revision`; 0 means that the key must not exist.
   net::awaitable<void> Acquire(StoreRevision revision, std::chrono::milliseconds handover_delay) {
-    const TimePoint begun = Clock::now();
+    const TimePoint start = Clock::now();
     const StoreResult<LeaseGrant> granted = co_await store_.GrantLease(options_.ttl);
     if (granted.has_error()) co_return;
     StoreTransaction transaction;
@@ -141,11 +141,11 @@
       co_return;
     }
     lease_ = granted->id;
-    clock_.Renew(begun, granted->ttl);
+    clock_.Renew(start, granted->ttl);
     fencing_token_ = written->value();
     revision_ = *written;
     active_from_ = Clock::now() + handover_delay;
-    exclusive_since_ = revision == StoreRevision(0) ? begun : created_;
+    exclusive_since_ = revision == StoreRevision(0) ? start : created_;
     marked_active_ = false;
     Log(LogLevel::kInfo, "key held",
         {{"key", options_.key},
@@ -157,8 +157,8 @@
 
   /// Marks the key's value, so that a later process of this instance can skip the handover delay.
   net::awaitable<void> MarkActive() {
-    const bool due = options_.exclusive && !marked_active_ && MayAct(Clock::now());
-    if (!due) co_return;
+    const bool should_mark = options_.exclusive && !marked_active_ && MayAct(Clock::now());
+    if (!should_mark) co_return;
     StoreTransaction transaction;
     transaction.conditions.push_back({options_.key, revision_});
     transaction.puts.push_back({options_.key, options_.value + kActiveSuffix, *lease_});
@@ -168,12 +168,12 @@
   }
 
   net::awaitable<void> Renew() {
-    const TimePoint begun = Clock::now();
+    const TimePoint start = Clock::now();
     const StoreLeaseId lease = *lease_;
     const StoreResult<LeaseGrant> renewed = co_await store_.RenewLease(lease);
     if (!lease_) co_return;
     if (renewed.has_value()) {
-      clock_.Renew(begun, renewed->ttl);
+      clock_.Renew(start, renewed->ttl);
       co_return;
     }
     // Without an answer the lease may still be alive, and a later renewal that succeeds proves that
--- a/libs/control/include/control/load_durations.h
+++ b/libs/control/include/control/load_durations.h
@@ -14,12 +14,12 @@
 /// s, and for two seconds no engine was available. Not thread-safe.
 class LoadDurations {
  public:
-  /// Records that a load took `took` while `concurrency` loads ran, itself included.
-  void Record(std::uint32_t concurrency, Duration took);
+  /// Records that a load took `duration` while `concurrency` loads ran, itself included.
+  void Record(std::uint32_t concurrency, Duration duration);
 
-  /// Returns the largest concurrency that is worthwhile, at least `usual`. Untried values are
-  /// assumed to help up to twice the largest one that did.
-  std::uint32_t MaxUsefulConcurrency(std::uint32_t usual) const;
+  /// Returns the largest concurrency that is worthwhile, at least `default_concurrency`. Untried
+  /// values are assumed to help up to twice the largest one that did.
+  std::uint32_t MaxUsefulConcurrency(std::uint32_t default_concurrency) const;
 
  private:
   std::map<std::uint32_t, Duration> shortest_;  ///< by concurrency
--- a/libs/control/include/control/quarantine_writer.h
+++ b/libs/control/include/control/quarantine_writer.h
@@ -94,21 +94,21 @@
     if (records_.Find(KeyOf(quarantine.request)) != nullptr) return false;
     const TimePoint first_seen = first_seen_.try_emplace(quarantine.request, now).first->second;
     if (guard_.DecidedHere(quarantine.request)) return true;
-    const std::size_t before = records_.MemberRank(kMemberPrefix + options_.self.value());
+    const std::size_t rank = records_.MemberRank(kMemberPrefix + options_.self.value());
     return now - first_seen >=
-           options_.takeover_delay + std::min(before, options_.max_rank) * options_.delay_per_rank;
+           options_.takeover_delay + std::min(rank, options_.max_rank) * options_.delay_per_rank;
   }
 
   net::awaitable<void> Write(PoisonDetector::Quarantine quarantine) {
-    const auto left =
+    const auto remaining =
         std::chrono::duration_cast<std::chrono::milliseconds>(quarantine.until - Clock::now());
-    const StoreResult<LeaseGrant> granted = co_await store_.GrantLease(left);
+    const StoreResult<LeaseGrant> granted = co_await store_.GrantLease(remaining);
     if (granted.has_error()) co_return;
     StoreTransaction transaction;
     const std::string key = KeyOf(quarantine.request);
     transaction.conditions.push_back({key, StoreRevision(0)});
     transaction.puts.push_back(
-        {key, EncodeQuarantine(options_.self, std::chrono::system_clock::now() + left),
+        {key, EncodeQuarantine(options_.self, std::chrono::system_clock::now() + remaining),
          granted->id});
     const StoreResult<StoreRevision> written = co_await store_.Commit(std::move(transaction));
     if (written.has_value()) co_return;
--- a/libs/control/include/control/rollout_controller.h
+++ b/libs/control/include/control/rollout_controller.h
@@ -65,7 +65,7 @@
  private:
   /// Progress of an engine's step.
   struct StepState {
-    TimePoint begun{};
+    TimePoint start{};
     bool answered = false;                ///< it has reported its status
     std::optional<TimePoint> load_start;  ///< when it began to load or was about to
   };
@@ -92,7 +92,7 @@
     if (active >= limit) return;
     pending.resize(std::min(pending.size(), limit - active));
     for (const RolloutStep& step : pending) {
-      steps_[step.engine->entry.id].begun = now;
+      steps_[step.engine->entry.id].start = now;
       net::co_spawn(state_.executor(), RunStep(step), net::detached);
     }
   }
@@ -119,7 +119,7 @@
   /// answer promptly is not counted.
   std::size_t CountActiveSteps(TimePoint now) const {
     return static_cast<std::size_t>(std::ranges::count_if(steps_, [&](const auto& entry) {
-      return entry.second.answered || now - entry.second.begun < options_.prompt_status;
+      return entry.second.answered || now - entry.second.start < options_.prompt_response_time;
     }));
   }
 
@@ -150,7 +150,7 @@
     const BackendId id = step.engine->entry.id;
     Timer timer(state_.executor());
     StepTimes times;
-    times.begun = Clock::now();
+    times.start = Clock::now();
     const auto report = co_await FetchReport(step);
     if (!report) {
       times.outcome = "no_report";
@@ -207,9 +207,9 @@
 
   /// Waits, for at most the drain time, until all requests at the engine can be resumed elsewhere.
   net::awaitable<void> Drain(const RolloutStep& step, Timer& timer) {
-    const TimePoint begun = Clock::now();
+    const TimePoint start = Clock::now();
     bool drained = false;
-    while (!drained && !stopped_ && Clock::now() - begun < pace_.DrainTime(step, Clock::now())) {
+    while (!drained && !stopped_ && Clock::now() - start < pace_.DrainTime(step, Clock::now())) {
       RenewHold(step);
       co_await WaitFor(timer, options_.hold_propagation);
       co_await RefreshLoad(step);
--- a/libs/control/include/control/rollout_options.h
+++ b/libs/control/include/control/rollout_options.h
@@ -28,7 +28,7 @@
   std::chrono::milliseconds first_load_poll{600};
   /// Time from the order to the report that the load is done: 1.05 s to 1.15 s on the platform's
   /// sites if no request has to end first.
-  std::chrono::milliseconds expected_load{1'150};
+  std::chrono::milliseconds expected_load_time{1'150};
   /// A load that is not reported as done by then is planned again.
   std::chrono::milliseconds load_timeout{6'000};
   /// Time until all instances have heard that an engine is held, that is, that it gets no new
@@ -40,18 +40,18 @@
   /// could prefill one to two long prompts.
   std::chrono::milliseconds min_drain{300};
   /// Requests may finish before a load only if they are expected to take no longer than
-  /// `max_expected_finish`, and only if `max_finish` is left before the deadline. The engine
+  /// `max_expected_finish`, and only if `worst_case_finish` is left before the deadline. The engine
   /// accepts nothing meanwhile: overloaded ones took 4.0 s to 4.8 s, half of it for the last few
   /// requests.
   std::chrono::milliseconds max_expected_finish{1'000};
-  std::chrono::milliseconds max_finish{5'000};
+  std::chrono::milliseconds worst_case_finish{5'000};
   /// The last order is sent this long before older weights reach their limit.
   std::chrono::milliseconds deadline_margin{1'000};
   /// Duration of one hold, which is renewed. It expires by itself if this instance dies.
   std::chrono::milliseconds hold_duration{4'000};
   /// An engine that is alive answers within this time; one that takes longer does not count against
   /// the concurrency.
-  std::chrono::milliseconds prompt_status{100};
+  std::chrono::milliseconds prompt_response_time{100};
   /// An engine that gave no report is not tried again for this long.
   std::chrono::milliseconds unresponsive_backoff{1'000};
   /// For this long after the start, the deadline of weights whose naming time is unknown is
--- a/libs/control/include/control/rollout_pace.h
+++ b/libs/control/include/control/rollout_pace.h
@@ -29,9 +29,9 @@
   /// that are too old.
   std::uint32_t Concurrency(const std::vector<RolloutStep>& engines, TimePoint now) const;
 
-  /// Records that a load took `took` while `concurrency` loads ran.
-  void NoteLoad(std::uint32_t concurrency, Duration took) {
-    load_durations_.Record(concurrency, took);
+  /// Records that a load took `duration` while `concurrency` loads ran.
+  void NoteLoad(std::uint32_t concurrency, Duration duration) {
+    load_durations_.Record(concurrency, duration);
   }
 
   /// Returns how long an engine may drain, so that its order is sent well before the deadline.
--- a/libs/control/include/control/rollout_plan.h
+++ b/libs/control/include/control/rollout_plan.h
@@ -27,11 +27,11 @@
 std::uint32_t DefaultLoadConcurrency(const BackendDirectory& directory, const ServiceId& service,
                                      std::uint32_t engines_per_load);
 
-/// Returns how many engines must load concurrently, at least `usual`, so that each gets its order
-/// in time. `time_left` has an entry for each engine, and each load takes `load`. Engines with the
-/// least time left go first, so a late engine adds concurrency only for itself and not for all
-/// others. Pure.
-std::uint32_t RequiredLoadConcurrency(std::uint32_t usual, std::vector<Duration> time_left,
-                                      Duration load);
+/// Returns how many engines must load concurrently, at least `default_concurrency`, so that each
+/// gets its order in time. `time_left` has an entry for each engine, and each load takes `load`.
+/// Engines with the least time left go first, so a late engine adds concurrency only for itself and
+/// not for all others. Pure.
+std::uint32_t RequiredLoadConcurrency(std::uint32_t default_concurrency,
+                                      std::vector<Duration> time_left, Duration load);
 
 }  // namespace ridgehold
--- a/libs/control/include/control/rollout_step_log.h
+++ b/libs/control/include/control/rollout_step_log.h
@@ -13,7 +13,7 @@
 
 /// Timestamps and result of one engine's step.
 struct StepTimes {
-  TimePoint begun{};
+  TimePoint start{};
   std::optional<TimePoint> drained;
   std::optional<TimePoint> ordered;
   ReloadMode mode = ReloadMode::kFinishRequests;
--- a/libs/control/include/control/state_follower.h
+++ b/libs/control/include/control/state_follower.h
@@ -135,7 +135,7 @@
   }
 
   net::awaitable<bool> ListAll() {
-    const TimePoint begun = Clock::now();
+    const TimePoint start = Clock::now();
     const StoreRevision known = revision_;
     std::vector<StoreItem> items;
     std::string after;
@@ -143,7 +143,7 @@
     for (bool more = true; more;) {
       const StoreResult<StorePage> page = co_await store_.List("", after);
       if (page.has_error()) {
-        RecordFailure("list", page.error(), begun);
+        RecordFailure("list", page.error(), start);
         co_return false;
       }
       // The pages are not one snapshot, so the watch starts from the revision of the first.
@@ -160,7 +160,7 @@
       revision_ = *first_revision;
       ClearChanges();
     }
-    state_.ConfirmSnapshot(begun);
+    state_.ConfirmSnapshot(start);
     listed_ = true;
     loaded_ = true;
     co_return true;
@@ -188,14 +188,14 @@
   }
 
   net::awaitable<void> WatchOnce() {
-    const TimePoint begun = Clock::now();
+    const TimePoint start = Clock::now();
     // After a failure the watch returns at once, to show early whether the store is back. Until
     // then, peers that follow this instance ask the store themselves.
     const auto wait =
         connectivity_.failing() ? std::chrono::milliseconds(0) : options_.watch_timeout;
     const StoreResult<WatchResult> answer = co_await store_.Watch("", revision_, wait);
     if (answer.has_error()) {
-      RecordFailure("watch", answer.error(), begun);
+      RecordFailure("watch", answer.error(), start);
       if (answer.error() == StoreError::kCompacted) {
         listed_ = false;
         co_return;
@@ -208,10 +208,10 @@
     ApplyEvents(answer->events, answer->revision);
     // An empty watch that lasted its full time saw no change up to its end. If the answer comes
     // later than that, only the time of the request is certain.
-    const auto late = now - begun - wait;
-    const bool waited =
-        answer->events.empty() && late >= Duration::zero() && late <= kMaxAnswerDelay;
-    state_.ConfirmSnapshot(waited ? begun + wait : begun);
+    const auto excess = now - start - wait;
+    const bool ran_full_length =
+        answer->events.empty() && excess >= Duration::zero() && excess <= kMaxAnswerDelay;
+    state_.ConfirmSnapshot(ran_full_length ? start + wait : start);
     if (!answer->events.empty()) co_await WaitFor(timer_, options_.batch_delay);
   }
 
@@ -220,8 +220,8 @@
   StoreItemApplier::WriteTime EarliestWriteTime(TimePoint now) const {
     if (!loaded_) return {now - options_.assumed_age, true};
     // After an outage the last confirmation says little; the assumption is bounded as at a start.
-    const bool prompt = now - state_.confirmed_at() <= kMaxUpdateDelay;
-    return {std::max<TimePoint>(state_.confirmed_at(), now - options_.assumed_age), !prompt};
+    const bool is_prompt = now - state_.confirmed_at() <= kMaxUpdateDelay;
+    return {std::max<TimePoint>(state_.confirmed_at(), now - options_.assumed_age), !is_prompt};
   }
 
   /// Applies the events that are newer than the local copy. Watches and peers' copies are read
@@ -284,13 +284,13 @@
     const TimePoint now = Clock::now();
     backoff_ = options_.min_backoff;
     if (const auto since = connectivity_.failing_since()) {
-      const auto away = std::chrono::duration_cast<std::chrono::milliseconds>(now - *since);
-      Log(LogLevel::kInfo, "store regained", {{"away_ms", std::to_string(away.count())}});
+      const auto outage = std::chrono::duration_cast<std::chrono::milliseconds>(now - *since);
+      Log(LogLevel::kInfo, "store regained", {{"away_ms", std::to_string(outage.count())}});
     }
     connectivity_.RecordSuccess(now);
   }
 
-  void RecordFailure(const char* call, StoreError fault, TimePoint begun) {
+  void RecordFailure(const char* call, StoreError fault, TimePoint start) {
     state_.metrics().GetCounter("ridgehold_platform_faults").Add();
     // Not an outage: the store answered, and only its history was compacted.
     if (fault == StoreError::kCompacted) {
@@ -298,7 +298,7 @@
           {{"revision", std::to_string(revision_.value())}});
       return;
     }
-    if (!connectivity_.RecordFailure(begun)) return;
+    if (!connectivity_.RecordFailure(start)) return;
     Log(LogLevel::kWarn, "store lost", {{"call", call}, {"fault", std::string(NameOf(fault))}});
   }
 
--- a/libs/control/include/control/store_connectivity.h
+++ b/libs/control/include/control/store_connectivity.h
@@ -27,11 +27,11 @@
     failing_since_.reset();
   }
 
-  /// Records that a call sent at `begun` had no answer or was refused. Returns true if it is the
+  /// Records that a call sent at `sent_at` had no answer or was refused. Returns true if it is the
   /// first failure in a row.
-  bool RecordFailure(TimePoint begun) {
+  bool RecordFailure(TimePoint sent_at) {
     if (failing_since_) return false;
-    failing_since_ = begun;
+    failing_since_ = sent_at;
     return true;
   }
 
@@ -39,8 +39,9 @@
   /// without calls.
   void ResetFailures() { failing_since_.reset(); }
 
-  /// Extends the grace period to `settled`, since the sender of an applied copy observed an outage.
-  void ExtendGrace(TimePoint settled) { grace_end_ = std::max(grace_end_, settled); }
+  /// Extends the grace period to `grace_end`, since the sender of an applied copy observed an
+  /// outage.
+  void ExtendGrace(TimePoint grace_end) { grace_end_ = std::max(grace_end_, grace_end); }
 
   bool failing() const { return failing_since_.has_value(); }
   /// When the first call of the current run of failures was sent.
--- a/libs/control/src/load_durations.cc
+++ b/libs/control/src/load_durations.cc
@@ -11,21 +11,21 @@
 
 }  // namespace
 
-void LoadDurations::Record(std::uint32_t concurrency, Duration took) {
-  if (concurrency == 0 || took <= Duration::zero()) return;
-  Duration& shortest = shortest_.try_emplace(concurrency, took).first->second;
-  shortest = std::min(shortest, took);
+void LoadDurations::Record(std::uint32_t concurrency, Duration duration) {
+  if (concurrency == 0 || duration <= Duration::zero()) return;
+  Duration& shortest = shortest_.try_emplace(concurrency, duration).first->second;
+  shortest = std::min(shortest, duration);
 }
 
-std::uint32_t LoadDurations::MaxUsefulConcurrency(std::uint32_t usual) const {
+std::uint32_t LoadDurations::MaxUsefulConcurrency(std::uint32_t default_concurrency) const {
   constexpr std::uint32_t kExtrapolationFactor = 2;
-  std::uint32_t useful = std::max(usual, 1U);
+  std::uint32_t useful = std::max(default_concurrency, 1U);
   if (shortest_.empty()) return kExtrapolationFactor * useful;
   const Duration fastest = std::ranges::min_element(shortest_, {}, [](const auto& entry) {
                              return entry.second;
                            })->second;
   for (auto entry = shortest_.upper_bound(useful); entry != shortest_.end(); ++entry) {
-    const double batches = static_cast<double>(entry->first) / std::max(usual, 1U);
+    const double batches = static_cast<double>(entry->first) / std::max(default_concurrency, 1U);
     if (entry->second > kMaxTimeRatio * batches * fastest) return useful;
     useful = entry->first;
   }
--- a/libs/control/src/rollout_pace.cc
+++ b/libs/control/src/rollout_pace.cc
@@ -18,7 +18,7 @@
 std::uint32_t RolloutPace::Concurrency(const std::vector<RolloutStep>& engines,
                                        TimePoint now) const {
   if (engines.empty()) return 1;
-  const std::uint32_t usual = DefaultLoadConcurrency(
+  const std::uint32_t default_concurrency = DefaultLoadConcurrency(
       state_.directory(), engines.front().engine->entry.service, options_.engines_per_load);
   std::vector<Duration> time_left;
   for (const RolloutStep& step : engines) {
@@ -27,17 +27,18 @@
     time_left.push_back(
         std::chrono::duration_cast<Duration>(*deadline - options_.deadline_margin - now));
   }
-  const std::uint32_t required =
-      RequiredLoadConcurrency(usual, std::move(time_left), options_.expected_load);
+  const std::uint32_t required = RequiredLoadConcurrency(default_concurrency, std::move(time_left),
+                                                         options_.expected_load_time);
   if (!options_.limit_by_measured_loads) return required;
-  return std::max(usual, std::min(required, load_durations_.MaxUsefulConcurrency(usual)));
+  return std::max(default_concurrency,
+                  std::min(required, load_durations_.MaxUsefulConcurrency(default_concurrency)));
 }
 
 Duration RolloutPace::DrainTime(const RolloutStep& step, TimePoint now) const {
   const Duration longest = MaxDrainTime(step, now);
   const auto deadline = DeadlineOf(step, now);
   if (!deadline) return longest;
-  const auto slack = *deadline - options_.deadline_margin - options_.expected_load - now;
+  const auto slack = *deadline - options_.deadline_margin - options_.expected_load_time - now;
   return std::clamp<Duration>(std::chrono::duration_cast<Duration>(slack),
                               options_.hold_propagation, longest);
 }
@@ -75,7 +76,7 @@
   }
   const auto deadline = DeadlineOf(step, now);
   const bool time_left =
-      !deadline || now + options_.max_finish + options_.deadline_margin < *deadline;
+      !deadline || now + options_.worst_case_finish + options_.deadline_margin < *deadline;
   const double speed = state_.TokensPerMs(step.engine->entry.service);
   const Duration finish = BackendDirectory::ExpectedWait(*step.engine, speed, now);
   // Waiting for resumable streams to finish would block the engine for seconds.
--- a/libs/control/src/rollout_plan.cc
+++ b/libs/control/src/rollout_plan.cc
@@ -42,10 +42,10 @@
   return std::max(rounded_up, 1U);
 }
 
-std::uint32_t RequiredLoadConcurrency(std::uint32_t usual, std::vector<Duration> time_left,
-                                      Duration load) {
+std::uint32_t RequiredLoadConcurrency(std::uint32_t default_concurrency,
+                                      std::vector<Duration> time_left, Duration load) {
   std::ranges::sort(time_left);
-  std::uint32_t concurrency = usual;
+  std::uint32_t concurrency = default_concurrency;
   std::uint32_t engines = 0;
   for (const Duration left : time_left) {
     ++engines;
--- a/libs/control/src/rollout_step_log.cc
+++ b/libs/control/src/rollout_step_log.cc
@@ -11,8 +11,8 @@
   const TimePoint now = Clock::now();
   LogFields fields = {{"backend", step.engine->entry.id.value()},
                       {"outcome", times.outcome},
-                      {"ms", MillisecondsText(now - times.begun)}};
-  if (times.drained) fields.push_back({"drain_ms", MillisecondsText(*times.drained - times.begun)});
+                      {"ms", MillisecondsText(now - times.start)}};
+  if (times.drained) fields.push_back({"drain_ms", MillisecondsText(*times.drained - times.start)});
   if (times.ordered) {
     fields.push_back({"load_ms", MillisecondsText(now - *times.ordered)});
     fields.push_back({"mode", std::string(NameOf(times.mode))});
@@ -27,7 +27,7 @@
   state.metrics()
       .GetSummary("ridgehold_rollout_step_seconds",
                   "outcome=\"" + std::string(times.outcome) + "\"")
-      .Observe(std::chrono::duration<double>(now - times.begun).count());
+      .Observe(std::chrono::duration<double>(now - times.start).count());
 }
 
 }  // namespace ridgehold
--- a/libs/control/src/store_item_applier.cc
+++ b/libs/control/src/store_item_applier.cc
@@ -82,8 +82,9 @@
   const auto request = ParseQuarantineKey(item.key);
   const auto until = DecodeQuarantine(item.value);
   if (!request || !until) return;
-  const auto left = std::chrono::duration_cast<Duration>(*until - std::chrono::system_clock::now());
-  state_.poison().TakeStored(*request, left, Clock::now());
+  const auto remaining =
+      std::chrono::duration_cast<Duration>(*until - std::chrono::system_clock::now());
+  state_.poison().TakeStored(*request, remaining, Clock::now());
 }
 
 void StoreItemApplier::RemoveInstanceKey(const std::string& key) {
--- a/libs/control/test/rollout_controller-test.cc
+++ b/libs/control/test/rollout_controller-test.cc
@@ -137,11 +137,11 @@
     options.poll_interval = 5ms;
     options.load_poll_interval = 10ms;
     options.first_load_poll = 30ms;
-    options.expected_load = 90ms;
+    options.expected_load_time = 90ms;
     options.deadline_margin = 100ms;
     options.max_expected_finish = 100ms;
-    options.max_finish = 500ms;
-    options.prompt_status = 10ms;
+    options.worst_case_finish = 500ms;
+    options.prompt_response_time = 10ms;
     options.unresponsive_backoff = 100ms;
     options.hold_propagation = 5ms;
     options.max_drain = 100ms;
@@ -340,7 +340,7 @@
 // With 0.7 s until the deadline, two of nine engines at a time would take 0.8 s.
 BOOST_AUTO_TEST_CASE(concurrency_rises_when_the_default_would_miss_the_deadline) {
   engines.load_time = 200ms;
-  options.expected_load = 230ms;
+  options.expected_load_time = 230ms;
   SetDeadline(700ms);
   Start(9);
   io.run_for(50ms);
