--- a/soak/fault_script.cc
+++ b/soak/fault_script.cc
@@ -225,9 +225,9 @@
 
 net::awaitable<void> FaultScript::StoreDown(Random random) {
   const Calm::Token token = targets_.calm.Begin(FaultClass::kProcess);
-  targets_.store.SetDown(true);
+  targets_.store.SetUnavailable(true);
   co_await Sleep(random.Milliseconds(100, kLongestStoreFault));
-  targets_.store.SetDown(false);
+  targets_.store.SetUnavailable(false);
 }
 
 net::awaitable<void> FaultScript::NameLimit(Random random) {
