--- a/libs/control/include/control/load_durations.h
+++ b/libs/control/include/control/load_durations.h
@@ -10,8 +10,8 @@
 namespace ridgehold {
 
 /// Determines how many concurrent loads shorten a rollout. Where loads share a bottleneck, more of
-/// them only take more engines out of service: nine concurrent loads took 2.9 s where two take 0.7
-/// s, and for two seconds no engine was available. Not thread-safe.
+/// them only take more engines out of service: nine concurrent loads took 2.9 s where two take
+/// 0.7 s, and for two seconds no engine was available. Not thread-safe.
 class LoadDurations {
  public:
   /// Records that a load took `duration` while `concurrency` loads ran, itself included.
--- a/libs/control/include/control/rollout_options.h
+++ b/libs/control/include/control/rollout_options.h
@@ -31,8 +31,7 @@
   std::chrono::milliseconds expected_load_time{1'150};
   /// A load that is not reported as done by then is planned again.
   std::chrono::milliseconds load_timeout{6'000};
-  /// Time until all instances have heard that an engine is held, that is, that it gets no new
-  /// requests.
+  /// Time until a hold on an engine has reached all instances. A held engine gets no new requests.
   std::chrono::milliseconds hold_propagation{80};
   /// Longest drain for requests that cannot be resumed at another engine.
   std::chrono::milliseconds max_drain{1'500};
--- a/libs/control/include/control/rollout_step_log.h
+++ b/libs/control/include/control/rollout_step_log.h
@@ -17,8 +17,8 @@
   std::optional<TimePoint> drained;
   std::optional<TimePoint> ordered;
   ReloadMode mode = ReloadMode::kFinishRequests;
-  std::uint32_t left_to_end =
-      0;  ///< requests that could not be resumed elsewhere when it was ordered
+  /// Requests that could not be resumed elsewhere when the order was sent.
+  std::uint32_t left_to_end = 0;
   const char* outcome = "given_up";
 };
 
--- a/libs/control/test/rollout_controller-test.cc
+++ b/libs/control/test/rollout_controller-test.cc
@@ -110,10 +110,10 @@
   std::unique_ptr<RolloutController<FakeEngines, MemoryStore>> rollout;
   TimePoint started{};
 
-  void Start(int count, std::chrono::milliseconds separation = 0ms) {
+  void Start(int count, std::chrono::milliseconds handover_delay = 0ms) {
     for (int i = 0; i < count; ++i) AddEngine("e" + std::to_string(i));
-    lock = std::make_unique<LeasedKey<MemoryStore>>(store, io.get_executor(),
-                                                    KeyOptions(separation), [] { return true; });
+    lock = std::make_unique<LeasedKey<MemoryStore>>(
+        store, io.get_executor(), KeyOptions(handover_delay), [] { return true; });
     rollout = std::make_unique<RolloutController<FakeEngines, MemoryStore>>(engines, *lock, state,
                                                                             options);
     started = Clock::now();
@@ -121,9 +121,9 @@
     net::co_spawn(io, rollout->Run(), net::detached);
   }
 
-  static LeasedKey<MemoryStore>::Options KeyOptions(std::chrono::milliseconds separation) {
+  static LeasedKey<MemoryStore>::Options KeyOptions(std::chrono::milliseconds handover_delay) {
     LeasedKey<MemoryStore>::Options key;
-    key.handover_delay = separation;
+    key.handover_delay = handover_delay;
     key.key = "duty";
     key.value = "d";
     key.ttl = 300ms;
