--- a/libs/control/include/control/rollout_options.h
+++ b/libs/control/include/control/rollout_options.h
@@ -9,7 +9,7 @@
 
 namespace ridgehold {
 
-/// Time limits, intervals and concurrency of a rollout. Default durations are as measured on the
+/// Time limits, intervals and concurrency of a rollout. Durations quoted below were observed on the
 /// platform's sites.
 struct RolloutOptions {
   DaemonId self;
