--- a/libs/control/include/control/rollout_plan.h
+++ b/libs/control/include/control/rollout_plan.h
@@ -7,7 +7,7 @@
 
 #include "base/ids.h"
 #include "gateway/backend_directory.h"
-#include "gateway/named_weights.h"
+#include "gateway/weights_history.h"
 
 namespace ridgehold {
 
--- a/libs/gateway/include/gateway/backend_directory.h
+++ b/libs/gateway/include/gateway/backend_directory.h
@@ -17,7 +17,7 @@
 #include "base/ids.h"
 #include "gateway/backend_word.h"
 #include "gateway/engine_cache.h"
-#include "gateway/gateway_news.h"
+#include "gateway/gateway_gossip.h"
 #include "gateway/inbound_request.h"
 
 namespace ridgehold {
--- a/libs/gateway/include/gateway/backend_news.h
+++ b/libs/gateway/include/gateway/backend_news.h
@@ -7,7 +7,7 @@
 #include <optional>
 #include <vector>
 
-#include "gateway/gateway_news.h"
+#include "gateway/gateway_gossip.h"
 #include "quota/request_rate.h"
 
 namespace ridgehold {
--- a/libs/gateway/include/gateway/poison_detector.h
+++ b/libs/gateway/include/gateway/poison_detector.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "base/ids.h"
-#include "gateway/gateway_news.h"
+#include "gateway/gateway_gossip.h"
 #include "gateway/request_fingerprint.h"
 
 namespace ridgehold {
--- a/libs/gateway/include/gateway/poison_news.h
+++ b/libs/gateway/include/gateway/poison_news.h
@@ -4,7 +4,7 @@
 
 #include <vector>
 
-#include "gateway/gateway_news.h"
+#include "gateway/gateway_gossip.h"
 #include "gateway/request_fingerprint.h"
 
 namespace ridgehold {
--- a/libs/gateway/include/gateway/uncounted_turns.h
+++ b/libs/gateway/include/gateway/uncounted_turns.h
@@ -6,7 +6,7 @@
 #include <cstdint>
 
 #include "base/ids.h"
-#include "gateway/gateway_news.h"
+#include "gateway/gateway_gossip.h"
 #include "quota/request_rate.h"
 
 namespace ridgehold {
--- a/libs/gateway/include/gateway/waiting_attempts.h
+++ b/libs/gateway/include/gateway/waiting_attempts.h
@@ -7,7 +7,7 @@
 #include <optional>
 
 #include "base/ids.h"
-#include "gateway/named_weights.h"
+#include "gateway/weights_history.h"
 #include "gateway/withdrawable_attempts.h"
 #include "net/beast.h"
 #include "net/timer.h"
--- a/libs/gateway/src/backend_search.cc
+++ b/libs/gateway/src/backend_search.cc
@@ -2,8 +2,8 @@
 
 #include <utility>
 
-#include "gateway/asked_choice.h"
 #include "gateway/backend_permit.h"
+#include "gateway/polled_choice.h"
 #include "net/wait.h"
 
 namespace ridgehold {
--- a/libs/gateway/src/gateway_news.cc
+++ b/libs/gateway/src/gateway_gossip.cc
@@ -1,4 +1,4 @@
-#include "gateway/gateway_news.h"
+#include "gateway/gateway_gossip.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
--- a/libs/gateway/src/asked_choice.cc
+++ b/libs/gateway/src/polled_choice.cc
@@ -1,4 +1,4 @@
-#include "gateway/asked_choice.h"
+#include "gateway/polled_choice.h"
 
 #include <algorithm>
 #include <chrono>
--- a/libs/gateway/src/reading_speed.cc
+++ b/libs/gateway/src/prefill_rate.cc
@@ -1,4 +1,4 @@
-#include "gateway/reading_speed.h"
+#include "gateway/prefill_rate.h"
 
 #include <algorithm>
 #include <cmath>
--- a/libs/gateway/src/named_weights.cc
+++ b/libs/gateway/src/weights_history.cc
@@ -1,4 +1,4 @@
-#include "gateway/named_weights.h"
+#include "gateway/weights_history.h"
 
 #include <algorithm>
 
--- a/libs/gateway/test/asked_choice-test.cc
+++ b/libs/gateway/test/polled_choice-test.cc
@@ -1,4 +1,4 @@
-#include "gateway/asked_choice.h"
+#include "gateway/polled_choice.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/io_context.hpp>
--- a/libs/gateway/test/reading_speed-test.cc
+++ b/libs/gateway/test/prefill_rate-test.cc
@@ -1,4 +1,4 @@
-#include "gateway/reading_speed.h"
+#include "gateway/prefill_rate.h"
 
 #include <rapidcheck/boost_test.h>
 #include <boost/test/unit_test.hpp>
--- a/libs/peers/include/peers/load_messages.h
+++ b/libs/peers/include/peers/load_messages.h
@@ -11,7 +11,7 @@
 
 #include "base/result.h"
 #include "gateway/backend_news.h"
-#include "gateway/gateway_news.h"
+#include "gateway/gateway_gossip.h"
 #include "gateway/load_report.h"
 #include "gateway/poison_news.h"
 #include "quota/quota_messages.h"
--- a/libs/peers/include/peers/news_codec.h
+++ b/libs/peers/include/peers/news_codec.h
@@ -6,7 +6,7 @@
 #include <string_view>
 
 #include "base/result.h"
-#include "gateway/gateway_news.h"
+#include "gateway/gateway_gossip.h"
 
 namespace ridgehold {
 
--- a/libs/peers/include/peers/peer_loads.h
+++ b/libs/peers/include/peers/peer_loads.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "base/ids.h"
-#include "gateway/gateway_news.h"
+#include "gateway/gateway_gossip.h"
 #include "gateway/gateway_state.h"
 
 namespace ridgehold {
--- a/libs/peers/include/peers/recent_namings.h
+++ b/libs/peers/include/peers/recent_namings.h
@@ -4,8 +4,8 @@
 
 #include <vector>
 
-#include "gateway/gateway_news.h"
-#include "gateway/named_weights.h"
+#include "gateway/gateway_gossip.h"
+#include "gateway/weights_history.h"
 
 namespace ridgehold {
 
--- a/libs/peers/include/peers/tracked_news.h
+++ b/libs/peers/include/peers/tracked_news.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "gateway/gateway_news.h"
+#include "gateway/gateway_gossip.h"
 #include "gateway/gateway_state.h"
 #include "peers/tracker_map.h"
 
