--- a/libs/control/include/control/decoded_item.h
+++ b/libs/control/include/control/decoded_item.h
@@ -26,7 +26,7 @@
 struct IgnoredItem {};
 
 /// The decoded content of an item.
-using DecodedItem = std::variant<IgnoredItem, RoutingParts, DesiredWeights, BackendEntry>;
+using DecodedItem = std::variant<IgnoredItem, RoutingConfig, DesiredWeights, BackendEntry>;
 
 /// Decodes keys and values of the store. Stateless.
 template <class Codec>
--- a/libs/control/include/control/rollout_controller.h
+++ b/libs/control/include/control/rollout_controller.h
@@ -240,7 +240,7 @@
     backed_off_[step.engine->entry.id] = now + options_.unresponsive_backoff;
     // Only its pooled connections may be unresponsive, and not the engine.
     state_.pool().Forget(step.engine->entry.address);
-    BackendDirectory::NoteFailure(*step.engine, now);
+    BackendDirectory::RecordFailure(*step.engine, now);
   }
 
   net::awaitable<void> Load(const RolloutStep& step, Timer& timer, StepTimes& times) {
--- a/libs/control/include/control/rollout_plan.h
+++ b/libs/control/include/control/rollout_plan.h
@@ -20,7 +20,7 @@
 /// Returns the engines with outdated weights. Engines that fail come last; the others are ordered
 /// by oldest weights, then by least load.
 std::vector<RolloutStep> OutdatedEngines(const BackendDirectory& directory,
-                                         const NamedWeights& named);
+                                         const WeightsHistory& named);
 
 /// Returns how many engines of a service load concurrently when there is no time pressure: one of
 /// `engines_per_load`, rounded up.
--- a/libs/control/include/control/store_item_applier.h
+++ b/libs/control/include/control/store_item_applier.h
@@ -48,7 +48,7 @@
   void Reject(const StoreItem& item, const Failure& failure);
 
  private:
-  void ApplyConfig(const StoreItem& item, RoutingParts parts);
+  void ApplyConfig(const StoreItem& item, RoutingConfig parts);
   void ApplyWeights(const DesiredWeights& order, const WriteTime& written);
   void ApplyBackend(const StoreItem& item, const BackendEntry& entry);
   void UpdateMemberCount();
--- a/libs/control/src/rollout_pace.cc
+++ b/libs/control/src/rollout_pace.cc
@@ -58,7 +58,7 @@
   std::uint32_t available = 0;
   for (const BackendPtr& engine : engines) {
     if (engine->hold_until > now || engine->avoid_until > now) continue;
-    if (state_.asks_first() && now - engine->peers_seen > kMaxLoadAge) continue;
+    if (state_.asks_first() && now - engine->peers_updated_at > kMaxLoadAge) continue;
     queued_tokens += engine->unprefilled_tokens + engine->peers.unread_tokens;
     ++available;
   }
@@ -87,7 +87,7 @@
 
 std::optional<TimePoint> RolloutPace::DeadlineOf(const RolloutStep& step, TimePoint now) const {
   const auto naming =
-      state_.named_weights().OutdatedBy(step.model, step.engine->weights.at(step.model));
+      state_.named_weights().SupersededBy(step.model, step.engine->weights.at(step.model));
   if (!naming) return std::nullopt;
   if (naming->assumed && now - started_ < options_.assumed_age_grace) return std::nullopt;
   return naming->at + state_.limits().older_weights;
--- a/libs/control/src/rollout_plan.cc
+++ b/libs/control/src/rollout_plan.cc
@@ -7,15 +7,15 @@
 namespace {
 
 bool IsOutdated(const Backend& engine, const ModelId& model, WeightsNumber weights,
-                const NamedWeights& named) {
-  return !engine.entry.draining && !engine.word.leaving() && !engine.missing_until &&
-         !engine.superseded && named.OutdatedSince(model, weights).has_value();
+                const WeightsHistory& named) {
+  return !engine.entry.draining && !engine.notice_state.leaving() && !engine.grace_until &&
+         !engine.superseded && named.SupersededSince(model, weights).has_value();
 }
 
 }  // namespace
 
 std::vector<RolloutStep> OutdatedEngines(const BackendDirectory& directory,
-                                         const NamedWeights& named) {
+                                         const WeightsHistory& named) {
   std::vector<RolloutStep> steps;
   for (const auto& [id, engine] : directory.all()) {
     if (!directory.IsServed(engine->entry.service)) continue;
--- a/libs/control/src/rollout_step_log.cc
+++ b/libs/control/src/rollout_step_log.cc
@@ -18,7 +18,7 @@
     fields.push_back({"mode", std::string(NameOf(times.mode))});
     fields.push_back({"left_to_end", std::to_string(times.left_to_end)});
   }
-  if (const auto since = state.named_weights().NewestSince(step.model)) {
+  if (const auto since = state.named_weights().NewestAnnouncedAt(step.model)) {
     fields.push_back({"newest_age_ms", MillisecondsText(now - *since)});
   }
   fields.push_back(
--- a/libs/control/src/store_item_applier.cc
+++ b/libs/control/src/store_item_applier.cc
@@ -15,12 +15,12 @@
 }  // namespace
 
 void StoreItemApplier::Apply(const StoreItem& item, DecodedItem value, const WriteTime& written) {
-  if (auto* parts = std::get_if<RoutingParts>(&value)) return ApplyConfig(item, std::move(*parts));
+  if (auto* parts = std::get_if<RoutingConfig>(&value)) return ApplyConfig(item, std::move(*parts));
   if (const auto* order = std::get_if<DesiredWeights>(&value)) return ApplyWeights(*order, written);
   if (const auto* entry = std::get_if<BackendEntry>(&value)) ApplyBackend(item, *entry);
 }
 
-void StoreItemApplier::ApplyConfig(const StoreItem& item, RoutingParts parts) {
+void StoreItemApplier::ApplyConfig(const StoreItem& item, RoutingConfig parts) {
   const std::string version = std::to_string(parts.version.value());
   ValueOr(
       [&]() -> Result<void> {
@@ -40,8 +40,8 @@
 }
 
 void StoreItemApplier::ApplyWeights(const DesiredWeights& order, const WriteTime& written) {
-  NamedWeights& named = state_.named_weights();
-  if (!named.Take(order.model, order.number, written.at, written.assumed)) return;
+  WeightsHistory& named = state_.named_weights();
+  if (!named.Record(order.model, order.number, written.at, written.assumed)) return;
   const auto age = std::chrono::duration_cast<Duration>(Clock::now() - written.at);
   Log(LogLevel::kInfo, "weights named",
       {{"model", order.model.value()},
@@ -54,7 +54,7 @@
   const BackendPtr known = state_.directory().Find(entry.id);
   const bool is_new = known == nullptr;
   const bool starts_draining = entry.draining && (is_new || !known->entry.draining);
-  const bool returned = !is_new && known->missing_until.has_value();
+  const bool returned = !is_new && known->grace_until.has_value();
   const Registration registration = state_.directory().Put(entry);
   // The pooled connections belong to the previous process.
   if (registration == Registration::kRestarted) state_.pool().Forget(entry.address);
@@ -62,7 +62,7 @@
   const char* event =
       starts_draining ? "backend draining" : (is_new ? "backend added" : "backend returned");
   if (registration == Registration::kRestarted) event = "backend restarted";
-  if (registration == Registration::kOutdated) event = "outdated registration ignored";
+  if (registration == Registration::kStale) event = "outdated registration ignored";
   Log(LogLevel::kInfo, event,
       {{"backend", entry.id.value()},
        {"started", std::to_string(entry.started.value())},
--- a/libs/control/test/rollout_controller-test.cc
+++ b/libs/control/test/rollout_controller-test.cc
@@ -159,7 +159,7 @@
   }
 
   void NameWeights(std::uint64_t number) {
-    state.named_weights().Take(kModel, WeightsNumber(number), Clock::now());
+    state.named_weights().Record(kModel, WeightsNumber(number), Clock::now());
   }
 
   bool AllHave(std::uint64_t number) {
@@ -374,7 +374,7 @@
   NameWeights(2);
   for (int i = 0; i < 400; ++i) {
     io.run_for(2ms);
-    for (const char* silent : {"e3", "e4"}) BackendDirectory::NoteSuccess(Engine(silent));
+    for (const char* silent : {"e3", "e4"}) BackendDirectory::RecordSuccess(Engine(silent));
   }
   CheckResponsiveOrderedBy(named_at + 800ms);
 }
--- a/libs/control/test/state_follower-test.cc
+++ b/libs/control/test/state_follower-test.cc
@@ -19,7 +19,7 @@
   static Result<DecodedItem> Decode(const StoreItem& item) {
     if (item.value == "bad") return Fail(ResultCode::kPlatformMalformed, "bad");
     if (item.key == "config") {
-      RoutingParts parts;
+      RoutingConfig parts;
       parts.version = ConfigVersion(std::stoull(item.value));
       return DecodedItem(parts);
     }
@@ -225,7 +225,7 @@
   store.faults.down = false;
   io.run_for(300ms);
   BOOST_REQUIRE(Has("b1"));
-  BOOST_TEST(state.directory().Find(BackendId("b1"))->missing_until.has_value());
+  BOOST_TEST(state.directory().Find(BackendId("b1"))->grace_until.has_value());
   BOOST_TEST(state.directory().Usable(ServiceId("s"), Clock::now()).size() == 1);
 }
 
@@ -315,7 +315,7 @@
   const TimePoint written = Clock::now();
   table.Put("weights", "2");
   io.run_for(300ms);
-  const auto since = state.named_weights().NewestSince(ModelId("m"));
+  const auto since = state.named_weights().NewestAnnouncedAt(ModelId("m"));
   BOOST_REQUIRE(since.has_value());
   BOOST_TEST((*since <= written));
   BOOST_TEST((*since >= written - 200ms));
@@ -374,7 +374,7 @@
   table.Remove("backend/b1");
   ApplyChangesOfPeer();
   BOOST_REQUIRE(Has("b1"));
-  BOOST_TEST(state.directory().Find(BackendId("b1"))->missing_until.has_value());
+  BOOST_TEST(state.directory().Find(BackendId("b1"))->grace_until.has_value());
   table.Remove("backend/b2");
   ApplyCopyOfPeer();
   BOOST_TEST(Has("b2"));
@@ -390,7 +390,7 @@
   follower->ApplyChanges(*table.After(follower->revision()), StoreRevision(table.revision()),
                          Clock::now(), settled);
   BOOST_REQUIRE(Has("b1"));
-  BOOST_TEST((*state.directory().Find(BackendId("b1"))->missing_until <= settled));
+  BOOST_TEST((*state.directory().Find(BackendId("b1"))->grace_until <= settled));
   table.Remove("backend/b2");
   follower->ApplyCopy({}, StoreRevision(table.revision()), Clock::now(), settled);
   BOOST_TEST(Has("b2"));
--- a/libs/entry/src/state_dump.cc
+++ b/libs/entry/src/state_dump.cc
@@ -18,7 +18,7 @@
           {"address", backend.entry.address},
           {"zone", backend.entry.zone.value()},
           {"draining", backend.entry.draining},
-          {"missing", backend.missing_until.has_value()},
+          {"missing", backend.grace_until.has_value()},
           {"in_flight", backend.in_flight},
           {"peers_running", backend.peers.running},
           {"failures", backend.failures},
@@ -83,8 +83,8 @@
                        std::span<const QuotaHolder::Usage> usages, TimePoint now) {
   json words = json::array();
   for (const auto& [id, backend] : state.directory().all()) {
-    const BackendWord& word = backend->word;
-    const auto asked = AskedOfSenderBy(*backend, now);
+    const BackendWord& word = backend->notice_state;
+    const auto asked = NoticeRecordOf(*backend, now);
     if (!asked) continue;
     const auto barred =
         std::max(Duration::zero(), std::chrono::duration_cast<Duration>(word.barred_until() - now));
--- a/libs/entry/src/tuning_options.cc
+++ b/libs/entry/src/tuning_options.cc
@@ -60,10 +60,10 @@
       "ms for each token of a second copy, which evicts another");
   Add("placement.per-running-call", placement.per_running_call,
       "ms that a running call adds at a plain service");
-  Add("placement.failing", placement.failing,
+  Add("placement.failing", placement.error_penalty,
       "ms by which a server is worse whose answers all fail");
   Add("placement.older-weights", placement.older_weights, "ms by which older weights are worse");
-  AddPart("placement.doubtful-part", placement.doubtful_part,
+  AddPart("placement.doubtful-part", placement.eviction_risk_fraction,
           "part of an engine's memory, its oldest, where cached parts may be evicted");
   Add("placement.observe-speed", placement.observe_speed,
       "the speed of engines is taken from first events");
--- a/libs/gateway/include/gateway/backend_directory.h
+++ b/libs/gateway/include/gateway/backend_directory.h
@@ -37,7 +37,7 @@
 };
 
 /// What other gateways do at a backend server, as they told last.
-struct PeerWork {
+struct PeerLoad {
   std::uint32_t running = 0;
   std::uint32_t unread_tokens = 0;
   std::uint32_t unrepeatable = 0;
@@ -48,29 +48,29 @@
 struct Backend {
   BackendEntry entry;
   std::map<ModelId, WeightsNumber> weights;  ///< newest news of any source
-  std::optional<TimePoint> missing_until;    ///< registration lapsed; gone from then on
+  std::optional<TimePoint> grace_until;      ///< registration lapsed; gone from then on
   bool removed = false;
-  bool reachable = true;  ///< as of the last probe
-  bool doubted = false;   ///< an attempt failed, or a peer cannot reach it: to be probed
+  bool reachable = true;     ///< as of the last probe
+  bool needs_probe = false;  ///< an attempt failed, or a peer cannot reach it: to be probed
   TimePoint probed_at{};
   bool probing = false;     ///< a probe is on its way
   bool superseded = false;  ///< another incarnation has registered at its address
 
   std::uint32_t in_flight = 0;     ///< requests of this gateway
   std::uint32_t unrepeatable = 0;  ///< those of them that cannot be resumed elsewhere
-  PeerWork peers;                  ///< of the other gateways, as far as is known
-  PeerWork heard;                  ///< of those that told this gateway themselves
-  TimePoint peers_seen{};          ///< when another gateway last said what `peers` is
+  PeerLoad peers;                  ///< of the other gateways, as far as is known
+  PeerLoad direct_peers;           ///< of those that told this gateway themselves
+  TimePoint peers_updated_at{};    ///< when another gateway last said what `peers` is
   TimePoint hold_until{};          ///< to get no new requests before, if others can take them
   double unprefilled_tokens = 0;   ///< of requests that have no first event yet
   TimePoint avoid_until{};         ///< after failures, or while it loads weights
   std::uint32_t failures = 0;      ///< in a row
   double error_rate = 0;           ///< moving mean of failed answers
-  Duration begin_wait{0};          ///< until the first event, as requests waited lately
-  TimePoint begin_wait_seen{};
+  Duration first_event_wait{0};    ///< until the first event, as requests waited lately
+  TimePoint first_event_wait_at{};
   std::multiset<TimePoint> waiting_since;  ///< of this gateway's requests without an event
   EngineCache cache;                       ///< under the weights it runs now
-  BackendWord word;
+  BackendWord notice_state;
 };
 
 using BackendPtr = std::shared_ptr<Backend>;
@@ -80,7 +80,7 @@
 
 /// Whether it is to be chosen last: it failed or refused here, or others say so.
 inline bool IsAvoided(const Backend& backend, TimePoint now) {
-  return backend.avoid_until > now || backend.word.doubted_until() > now;
+  return backend.avoid_until > now || backend.notice_state.doubted_until() > now;
 }
 
 /// What a registration meant to the directory.
@@ -88,15 +88,15 @@
   kAdded,
   kChanged,
   kRestarted,  ///< the id is known, from a process that started earlier
-  kOutdated,   ///< of a process that was followed by another; ignored
+  kStale,      ///< of a process that was followed by another; ignored
 };
 
 /// Not thread-safe; time comes in as a value.
 class BackendDirectory {
  public:
   /// Backoff after the first failure; doubled with each further one.
-  static constexpr std::chrono::milliseconds kFirstBackoff{250};
-  static constexpr std::chrono::milliseconds kLongestBackoff{2'000};
+  static constexpr std::chrono::milliseconds kInitialBackoff{250};
+  static constexpr std::chrono::milliseconds kMaxBackoff{2'000};
   /// Weight of the newest answer in `error_rate`.
   static constexpr double kErrorRateStep = 0.15;
 
@@ -116,7 +116,7 @@
 
   /// Called for each incarnation that is found to be gone and has not announced that
   /// it leaves.
-  void SetEndListener(std::function<void(const Backend&)> listener) {
+  void SetTerminationListener(std::function<void(const Backend&)> listener) {
     on_end_ = std::move(listener);
   }
 
@@ -142,16 +142,16 @@
   /// reading takes what all gateways have sent there.
   static Duration ExpectedWait(const Backend& backend, double tokens_per_ms, TimePoint now);
   /// The first event has come after `waited`.
-  static void NoteBegun(Backend& backend, Duration waited, TimePoint now);
+  static void RecordFirstEvent(Backend& backend, Duration waited, TimePoint now);
 
   /// A probe has reached it.
-  static void NoteReached(Backend& backend);
+  static void RecordReachable(Backend& backend);
 
-  static void NoteSuccess(Backend& backend);
+  static void RecordSuccess(Backend& backend);
   /// The backend server could not be reached or broke off.
-  static void NoteFailure(Backend& backend, TimePoint now);
+  static void RecordFailure(Backend& backend, TimePoint now);
   /// It answered, but with a failure of its own.
-  static void NoteErrorAnswer(Backend& backend);
+  static void RecordErrorResponse(Backend& backend);
   /// News of the weights it runs.
   /// Newer weights empty its cache.
   static void NoteWeights(Backend& backend, const ModelId& model, WeightsNumber weights);
--- a/libs/gateway/include/gateway/backend_load.h
+++ b/libs/gateway/include/gateway/backend_load.h
@@ -11,8 +11,8 @@
 namespace ridgehold {
 
 /// What other gateways are told of an attempt.
-PlacedNews PlacedNewsOf(const ExchangePlan& plan, const InboundRequest& request,
-                        const BackendChoice& choice);
+PlacementUpdate PlacementUpdateOf(const ExchangePlan& plan, const InboundRequest& request,
+                                  const BackendChoice& choice);
 
 /// Counts on construction, and counts back on destruction.
 class BackendLoad {
@@ -26,7 +26,7 @@
   BackendLoad& operator=(const BackendLoad&) = delete;
 
   /// The prompt has been read: the first event is there.
-  void Begun(TimePoint now);
+  void OnFirstEvent(TimePoint now);
 
  private:
   void EndReading();
--- a/libs/gateway/include/gateway/engine_cache.h
+++ b/libs/gateway/include/gateway/engine_cache.h
@@ -39,9 +39,9 @@
   void Use(std::span<const SharedPart> parts, std::uint32_t own_tokens, std::uint64_t capacity,
            TimePoint now);
 
-  /// Which of `parts` are there. Parts count as read `reading_time` after they
+  /// Which of `parts` are there. Parts count as read `prefill_delay` after they
   /// were first brought.
-  Holding Find(std::span<const SharedPart> parts, Duration reading_time, TimePoint now) const;
+  Holding Find(std::span<const SharedPart> parts, Duration prefill_delay, TimePoint now) const;
 
   /// The engine has lost everything.
   void Clear();
--- a/libs/gateway/include/gateway/exchange.h
+++ b/libs/gateway/include/gateway/exchange.h
@@ -106,12 +106,12 @@
     record_.quota_tokens = plan_.quota->tokens;
     record_.quota = co_await state_.AcquireQuota(*plan_.quota);
     record_.quota_took = std::chrono::duration_cast<Duration>(Clock::now() - began);
-    co_return RefusalOf(record_.quota->verdict);
+    co_return QuotaRefusalCode(record_.quota->verdict);
   }
 
   std::chrono::milliseconds RetryAfterQuota() const {
     const auto known = std::chrono::ceil<std::chrono::milliseconds>(record_.quota->retry_after);
-    return std::max(known, RetryAfterFor(plan_));
+    return std::max(known, DefaultRetryAfter(plan_));
   }
 
   std::optional<Failure> Decode() {
@@ -139,7 +139,7 @@
     record_.route = plan_.route->id;
     record_.service = plan_.service;
     if (plan_.workspace != nullptr) record_.workspace = plan_.workspace->id;
-    if (plan_.chain) state_.prompt_sizes().Note(plan_.service, plan_.chain->prompt_tokens);
+    if (plan_.chain) state_.prompt_sizes().Record(plan_.service, plan_.chain->prompt_tokens);
     plan_.fingerprint = FingerprintOf(record_.workspace, inbound_, caller_->request());
     record_.fingerprint = plan_.fingerprint;
     relay_ = EventRelay{inbound_.resume_after};
@@ -211,7 +211,7 @@
     record_.fetched_from = choice.fetch_from.value_or("");
     const TimePoint now = Clock::now();
     record_.older_weights = OlderWeightsAt(state_, inbound_, choice.weights, now);
-    record_.asked_of_sender = AskedOfSenderBy(backend, now);
+    record_.backend_notice = NoticeRecordOf(backend, now);
   }
 
   net::awaitable<AttemptEnd> RunAttempt(const BackendChoice& choice) {
@@ -222,8 +222,8 @@
     const bool caller_gone = caller_->CheckCallerGone();
     const TimePoint now = Clock::now();
     const bool too_late = now >= WaitLimit();
-    const bool permitted =
-        !attempt_.backend->word.limit() || record_.permit.verdict != PermitVerdict::kNotNeeded;
+    const bool permitted = !attempt_.backend->notice_state.limit() ||
+                           record_.permit.verdict != PermitVerdict::kNotNeeded;
     const bool may_send =
         !Quarantined() && permitted && MayStillSend(state_, inbound_, choice, now);
     if (caller_gone || too_late || !may_send) {
@@ -279,12 +279,12 @@
   net::awaitable<AttemptEnd> ReadAnswer() {
     relay_.StartAttempt();
     for (int foreign = 0; foreign <= OutboundConnection::kMostForeignAnswers; ++foreign) {
-      const TimePoint limit = HeadLimit(state_, plan_, facts_, Clock::now());
+      const TimePoint limit = HeadDeadline(state_, plan_, facts_, Clock::now());
       ExchangeFault fault = co_await attempt_.connection->ReadHead(limit);
       if (fault != ExchangeFault::kNone) co_return EndOf(fault);
       attempt_.head = Wire::ReadAnswerHead(attempt_.connection->head());
       if (attempt_.head.request == inbound_.id) co_return co_await ReadOwnAnswer();
-      if (!IsOlderAnswer(attempt_.head)) break;
+      if (!IsStaleAnswer(attempt_.head)) break;
       std::string skipped;
       fault = co_await attempt_.connection->ReadWholeBody(skipped, state_.limits().max_answer_bytes,
                                                           plan_.answer_by);
@@ -296,7 +296,7 @@
   }
 
   net::awaitable<AttemptEnd> ReadOwnAnswer() {
-    LearnFromHead(state_, *attempt_.backend, inbound_, attempt_.head, attempt_.sent);
+    ApplyAnswerHead(state_, *attempt_.backend, inbound_, attempt_.head, attempt_.sent);
     attempt_.caller_head = Wire::MakeCallerHead(attempt_.connection->head());
     if (!IsAcceptable(attempt_.head)) {
       last_code_ = ResultCode::kForeignAnswer;
@@ -319,7 +319,7 @@
     std::string bytes;
     while (!attempt_.connection->BodyDone()) {
       bytes.clear();
-      const TimePoint limit = EventLimit(plan_, facts_, relay_.passed_any(), Clock::now());
+      const TimePoint limit = EventDeadline(plan_, facts_, relay_.passed_any(), Clock::now());
       const ExchangeFault fault = co_await attempt_.connection->ReadBody(bytes, limit);
       const std::string events = relay_.Take(bytes);
       if (!events.empty()) {
@@ -354,13 +354,13 @@
   /// The engine has made its first event, so the prompt is read.
   void NotePrefilled() {
     if (std::exchange(attempt_.prefilled, true)) return;
-    load_->Begun(Clock::now());
-    NoteBegun();
+    load_->OnFirstEvent(Clock::now());
+    RecordFirstEvent();
   }
 
   /// An engine begins a request with its first event. Newer weights may have
   /// been named while the request waited there.
-  void NoteBegun() {
+  void RecordFirstEvent() {
     waiting_.reset();
     unanswered_.reset();
     const auto weights = attempt_.head.weights ? attempt_.head.weights : attempt_.expected_weights;
@@ -415,7 +415,7 @@
     }
     const TimePoint now = Clock::now();
     facts_.time_left = WaitLimit() - now > state_.limits().least_time;
-    NoteOutcome(state_, inbound_, *attempt_.backend, facts_, now);
+    RecordOutcome(state_, inbound_, *attempt_.backend, facts_, now);
     NoteForPoison(end, now);
     tried_.insert(attempt_.backend->entry.id);
     NextStep step = caller_->caller_gone() ? NextStep::kDone : DecideNext(facts_);
--- a/libs/gateway/include/gateway/exchange_plan.h
+++ b/libs/gateway/include/gateway/exchange_plan.h
@@ -33,18 +33,18 @@
   std::string cache_scope;  ///< who may share cache entries, without the weights
   std::optional<PromptChain> chain;
   std::optional<QuotaDemand> quota;  ///< what it takes of its workspace's quota
-  bool spares_limited = false;       ///< goes to no backend server with a limit for now
+  bool avoid_rate_limited = false;   ///< goes to no backend server with a limit for now
 };
 
 /// The backend server an attempt goes to.
 struct BackendChoice {
   BackendPtr backend;
-  double tokens_ahead = 0;            ///< that the engine has to read before
+  double queued_tokens = 0;           ///< that the engine has to read before
   double tokens_to_read = 0;          ///< prompt tokens expected not to be cached there
   std::uint32_t known_tokens = 0;     ///< shared tokens taken to be in its cache
   std::uint32_t tokens_to_store = 0;  ///< those, and what is fetched: what its cache takes in
   double expected_ms = 0;             ///< cost that decided, see Placement
-  double ahead_ms = 0;                ///< of that, until what is before it has been read
+  double queue_ms = 0;                ///< of that, until what is before it has been read
   double wait_ms = 0;                 ///< of that, until the prompt is read
   std::optional<WeightsNumber> weights;
   std::optional<std::string> fetch_from;  ///< address that has shared parts
@@ -72,21 +72,22 @@
 
 /// Whether a request leaves backend servers with a limit to others, and rather waits for
 /// one without: a limit counts requests, so it is best used up by the largest.
-bool SparesLimited(const GatewayState& state, const ExchangePlan& plan, TimePoint now);
+bool AvoidsRateLimited(const GatewayState& state, const ExchangePlan& plan, TimePoint now);
 
 /// When the first of those that may be given the request takes one, by its own word; now
 /// or later, nothing if there is none.
-std::optional<TimePoint> SoonestRoom(const GatewayState& state, const ExchangePlan& plan,
-                                     const InboundRequest& request,
-                                     const std::set<BackendId>& tried, TimePoint now);
+std::optional<TimePoint> EarliestCapacity(const GatewayState& state, const ExchangePlan& plan,
+                                          const InboundRequest& request,
+                                          const std::set<BackendId>& tried, TimePoint now);
 
 /// When a refused caller should come back that nothing is known for.
-std::chrono::milliseconds RetryAfterFor(const ExchangePlan& plan);
+std::chrono::milliseconds DefaultRetryAfter(const ExchangePlan& plan);
 
 /// When a caller should come back for which there is room from `room` on. Callers that are
 /// refused at one moment come back at different ones.
-std::chrono::milliseconds RetryAfterRoom(const ExchangePlan& plan, const InboundRequest& request,
-                                         TimePoint room, TimePoint now);
+std::chrono::milliseconds RetryAfterCapacity(const ExchangePlan& plan,
+                                             const InboundRequest& request, TimePoint room,
+                                             TimePoint now);
 
 /// The same among `candidates`, which are never none; `answers` is what the
 /// gateways say that track them, null where everything is known here.
@@ -95,7 +96,7 @@
                           const LoadAnswer* answers, TimePoint now);
 
 /// The store that would keep the prompt's shared parts, or null.
-const KvCacheStore* StoreFor(const ExchangePlan& plan);
+const KvCacheStore* KvStoreForPrompt(const ExchangePlan& plan);
 
 /// What decides whether a request for text is sent to the chosen engine now.
 AdmissionQuery AdmissionQueryFor(const ExchangePlan& plan, const BackendChoice& choice,
@@ -116,12 +117,12 @@
                                               std::optional<WeightsNumber> weights, TimePoint now);
 
 /// Until when to wait for an answer's head.
-TimePoint HeadLimit(const GatewayState& state, const ExchangePlan& plan, const AttemptFacts& facts,
-                    TimePoint now);
+TimePoint HeadDeadline(const GatewayState& state, const ExchangePlan& plan,
+                       const AttemptFacts& facts, TimePoint now);
 
 /// Until when to wait for the next bytes of a stream.
-TimePoint EventLimit(const ExchangePlan& plan, const AttemptFacts& facts, bool passed_any,
-                     TimePoint now);
+TimePoint EventDeadline(const ExchangePlan& plan, const AttemptFacts& facts, bool passed_any,
+                        TimePoint now);
 
 bool IsSuccess(int status);
 
@@ -129,15 +130,15 @@
 bool IsAcceptable(const AnswerHead& head);
 
 /// Whether the head is of an answer to an earlier request on the connection.
-bool IsOlderAnswer(const AnswerHead& head);
+bool IsStaleAnswer(const AnswerHead& head);
 
 /// Takes what an answer's head tells of the backend server; the request was sent at `sent`.
-void LearnFromHead(GatewayState& state, Backend& backend, const InboundRequest& request,
-                   const AnswerHead& head, TimePoint sent);
+void ApplyAnswerHead(GatewayState& state, Backend& backend, const InboundRequest& request,
+                     const AnswerHead& head, TimePoint sent);
 
 /// Takes what an attempt's outcome tells of the backend server.
-void NoteOutcome(const GatewayState& state, const InboundRequest& request, Backend& backend,
-                 const AttemptFacts& facts, TimePoint now);
+void RecordOutcome(const GatewayState& state, const InboundRequest& request, Backend& backend,
+                   const AttemptFacts& facts, TimePoint now);
 
 /// The code of a request that has not run.
 ResultCode NotRunCode(ResultCode last, const AttemptFacts& facts);
@@ -146,6 +147,6 @@
 ResultCode FailedCode(ResultCode last);
 
 /// Why a request may not go on that has asked for its part of a quota; nothing if it may.
-std::optional<ResultCode> RefusalOf(QuotaVerdict verdict);
+std::optional<ResultCode> QuotaRefusalCode(QuotaVerdict verdict);
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/gateway_gossip.h
+++ b/libs/gateway/include/gateway/gateway_gossip.h
@@ -23,18 +23,18 @@
 BackendHash HashOf(const BackendId& id, StartStamp started = StartStamp());
 
 /// One gateway's requests at a backend server.
-struct LoadNews {
+struct LoadUpdate {
   BackendHash backend = 0;
   std::uint32_t running = 0;
   std::uint32_t unread_tokens = 0;  ///< prompts of requests without a first event
   std::uint32_t unrepeatable = 0;   ///< requests that cannot be resumed elsewhere
   std::uint32_t uncovered = 0;      ///< others that there are no retries left to resume
 
-  bool operator==(const LoadNews&) const = default;
+  bool operator==(const LoadUpdate&) const = default;
 };
 
 /// A request was sent; its parts will be in the backend server's cache.
-struct PlacedNews {
+struct PlacementUpdate {
   BackendHash backend = 0;
   std::uint32_t new_tokens = 0;  ///< that its cache takes in
   std::uint32_t own_tokens = 0;  ///< of those, what only this request uses
@@ -49,30 +49,30 @@
 };
 
 /// A backend server is to get no new requests for a while; 0: it may again.
-struct HoldNews {
+struct HoldUpdate {
   BackendHash backend = 0;
   std::chrono::milliseconds length{0};
 };
 
 /// A backend server was seen to run these weights.
-struct WeightsNews {
+struct WeightsUpdate {
   BackendHash backend = 0;
   ModelId model;
   WeightsNumber number;
 };
 
 /// The operator named these weights so long ago at the least.
-struct NamingNews {
+struct AnnouncementUpdate {
   ModelId model;
   WeightsNumber number;
   std::chrono::milliseconds age{0};
 };
 
 /// What has happened since the last message.
-struct NewsItems {
-  std::vector<PlacedNews> placed;
-  std::vector<HoldNews> holds;
-  std::vector<WeightsNews> weights;
+struct GossipItems {
+  std::vector<PlacementUpdate> placed;
+  std::vector<HoldUpdate> holds;
+  std::vector<WeightsUpdate> weights;
   std::vector<BackendHash> unreachable;  ///< from the sender; to be probed by others
 
   bool empty() const {
@@ -81,13 +81,13 @@
 };
 
 /// One message of news.
-struct GatewayNews {
+struct GossipMessage {
   DaemonId daemon;
   std::uint64_t incarnation = 0;
   std::uint64_t sequence = 0;
-  std::vector<LoadNews> loads;
-  NewsItems items;
-  std::vector<NamingNews> namings;  ///< in some messages only
+  std::vector<LoadUpdate> loads;
+  GossipItems items;
+  std::vector<AnnouncementUpdate> namings;  ///< in some messages only
 };
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/gateway_state.h
+++ b/libs/gateway/include/gateway/gateway_state.h
@@ -76,7 +76,7 @@
         waiting_attempts_(executor, named_weights_, limits.older_weights) {
     words_.SetTolerance(limits.backend_limits);
     named_weights_.SetListener([this] { waiting_attempts_.Review(); });
-    directory_.SetEndListener([this](const Backend& backend) {
+    directory_.SetTerminationListener([this](const Backend& backend) {
       poison_.NoteEnded(backend, "registration", Clock::now());
     });
   }
@@ -130,19 +130,19 @@
   }
   const TransferLinks& links() const { return links_; }
 
-  /// What a store is believed to keep, see KeptPart.
+  /// What a store is believed to keep, see StoredPart.
   const EngineCache& KeptAt(LinkHash store) { return kept_[store]; }
 
   /// Of the engines of a service.
-  ReadingSpeed& reading_speed(const ServiceId& service);
+  PrefillRateEstimator& reading_speed(const ServiceId& service);
   /// The same in tokens a millisecond; the settings' figure before any answer.
   double TokensPerMs(const ServiceId& service) const;
 
   PromptSizes& prompt_sizes() { return prompt_sizes_; }
   const PromptSizes& prompt_sizes() const { return prompt_sizes_; }
 
-  NamedWeights& named_weights() { return named_weights_; }
-  const NamedWeights& named_weights() const { return named_weights_; }
+  WeightsHistory& named_weights() { return named_weights_; }
+  const WeightsHistory& named_weights() const { return named_weights_; }
   WaitingAttempts& waiting_attempts() { return waiting_attempts_; }
   UnansweredAttempts& unanswered_attempts() { return unanswered_attempts_; }
   PoisonGuard& poison() { return poison_; }
@@ -198,7 +198,7 @@
   std::vector<BackendHash> HoldersOf(const std::vector<SharedPart>& parts, TimePoint now) const;
 
   /// This gateway's own requests there.
-  LoadNews OwnLoadAt(const Backend& backend, TimePoint now);
+  LoadUpdate OwnLoadAt(const Backend& backend, TimePoint now);
 
   /// The store of kept cache at this link; null if the configuration has none.
   const KvCacheStore* StoreAt(LinkHash link) const;
@@ -216,12 +216,12 @@
   void SetHeardGateways(std::size_t heard) { heard_gateways_ = static_cast<double>(heard); }
 
   /// News for the other gateways.
-  const NewsItems& news() const { return news_; }
+  const GossipItems& news() const { return news_; }
 
   /// A request was sent to an engine, by this or another gateway.
-  void TakePlaced(const PlacedNews& placed, TimePoint now);
+  void TakePlaced(const PlacementUpdate& placed, TimePoint now);
   /// This gateway sent it: the others are to know soon.
-  void TellPlaced(PlacedNews placed);
+  void TellPlaced(PlacementUpdate placed);
   /// Called after each TellPlaced.
   void SetPlacedListener(std::function<void()> listener) { on_placed_ = std::move(listener); }
 
@@ -232,7 +232,7 @@
   void SetLoadListener(std::function<void()> listener) { on_load_change_ = std::move(listener); }
 
   /// Takes out what is to be told now; of placed requests at most `most_placed`.
-  NewsItems TakeNews(std::size_t most_placed);
+  GossipItems TakeNews(std::size_t most_placed);
 
   /// Keeps new requests off a backend server, here and at the other gateways;
   /// zero lets them in again.
@@ -269,7 +269,7 @@
  private:
   /// Memory of an engine of the service; 0: not known.
   std::uint64_t CacheTokensOf(const ServiceId& service) const;
-  void NoteTransfers(const PlacedNews& placed, TimePoint now);
+  void NoteTransfers(const PlacementUpdate& placed, TimePoint now);
   void TakeReport(const LoadQuestion& question, const BackendReport& report, TimePoint now);
 
   net::any_io_executor executor_;
@@ -289,9 +289,9 @@
   SampledShares sampled_shares_;  ///< of all, as answers tell
   TransferLinks links_;
   std::unordered_map<LinkHash, EngineCache> kept_;  ///< by store
-  std::map<ServiceId, ReadingSpeed> reading_speeds_;
+  std::map<ServiceId, PrefillRateEstimator> reading_speeds_;
   PromptSizes prompt_sizes_;
-  NamedWeights named_weights_;
+  WeightsHistory named_weights_;
   PoisonGuard poison_;
   EndConfirmer confirm_end_;
   QuotaAsker quota_asker_;
@@ -300,7 +300,7 @@
   DeferredRequests deferred_requests_;
   std::uint32_t gateways_ = 1;
   double heard_gateways_ = 0;
-  NewsItems news_;
+  GossipItems news_;
   std::function<void()> on_placed_;
   std::function<void()> on_load_change_;
   LoadAsker ask_loads_;
--- a/libs/gateway/include/gateway/load_report.h
+++ b/libs/gateway/include/gateway/load_report.h
@@ -33,7 +33,7 @@
 /// How a backend server is, by the gateway that tracks it.
 struct BackendReport {
   BackendHash backend = 0;
-  PeerWork work;              ///< of all gateways but the asking one
+  PeerLoad work;              ///< of all gateways but the asking one
   Duration hold{0};           ///< to get no new requests so long
   WeightsNumber weights;      ///< of the model asked for; 0: not known
   EngineCache::Holding held;  ///< of the parts asked for
--- a/libs/gateway/include/gateway/placement.h
+++ b/libs/gateway/include/gateway/placement.h
@@ -33,11 +33,11 @@
 };
 
 /// Fewer shared tokens than this are read again sooner than fetched.
-inline constexpr std::uint32_t kWorthFetching = 256;
+inline constexpr std::uint32_t kMinFetchTokens = 256;
 
 /// Figures the choice weighs; each in milliseconds unless it says otherwise.
 struct PlacementWeights {
-  /// Speed of an engine until its first answers tell (ReadingSpeed).
+  /// Speed of an engine until its first answers tell (PrefillRateEstimator).
   double prefill_tokens_per_ms = 56;
   /// What a request that runs already adds to the wait for a first event.
   double per_running_request = 0.6;
@@ -52,7 +52,7 @@
   double store_token = 0.006;
   /// Reading takes an engine's time from all that wait there; so many times its
   /// own time a fetch may take instead.
-  double reading_again = 2;
+  double reprefill_factor = 2;
   /// Off: the settings' speed holds, whatever first events tell.
   bool observe_speed = true;
   /// Off: where there is a store, parts come from it alone.
@@ -65,22 +65,22 @@
   /// What a call to a plain service adds to the wait of the next one.
   double per_running_call = 20;
   /// How much a backend server whose answers all fail is worse than others.
-  double failing = 400;
+  double error_penalty = 400;
   /// How much older weights are worse than the newest, once those are old news.
   double older_weights = 150;
   /// Requests may begin on older weights this long without being worth less.
   std::chrono::milliseconds older_weights_free{1'000};
   /// Parts are read and can be fetched this long after they were brought.
-  std::chrono::milliseconds reading_time{250};
+  std::chrono::milliseconds prefill_delay{250};
   /// Parts in this part of an engine's memory, counted from those that go next,
   /// may be evicted already: what runs there and what other gateways sent a
   /// moment ago is not all known. A fetch costs 1 ms if they are there.
-  double doubtful_part = 0.3;
+  double eviction_risk_fraction = 0.3;
   /// An engine that is to get no new requests is chosen only before none.
-  double held = 3'000;
+  double hold_penalty = 3'000;
   /// One whose tracking gateway was asked and gave no answer may have as much to
   /// read as this: more than an engine has in the mean, less than a full one.
-  double unanswered = 100;
+  double no_report_penalty = 100;
 };
 
 /// The store of kept cache that keeps a prompt's parts.
@@ -88,12 +88,12 @@
   ZoneId zone;
   LinkHash link = 0;
   double ms_per_token = 0;            ///< over its link; 0: as the weights say
-  const EngineCache* kept = nullptr;  ///< what it has, see KeptPart; null: taken to have all
+  const EngineCache* kept = nullptr;  ///< what it has, see StoredPart; null: taken to have all
 };
 
 /// A part as stores keep it: parts of other weights are others.
-SharedPart KeptPart(const SharedPart& part, WeightsNumber weights);
-std::vector<SharedPart> KeptParts(std::span<const SharedPart> parts, WeightsNumber weights);
+SharedPart StoredPart(const SharedPart& part, WeightsNumber weights);
+std::vector<SharedPart> StoredParts(std::span<const SharedPart> parts, WeightsNumber weights);
 
 /// What the choice is made for.
 struct PlacementQuery {
@@ -107,10 +107,10 @@
   const TransferLinks* links = nullptr;   ///< null: taken to be idle
   /// What the gateways say that track the candidates; null: all is known here.
   const LoadAnswer* answers = nullptr;
-  double engine_ms_per_token = 0;  ///< over an engine's link; 0: as the weights say
-  CircleSegment segment;           ///< of the engines that keep the prompt's beginning
-  double unheard_share = 0;        ///< requests of unheard gateways for each own one
-  double tokens_per_ms = 0;        ///< at which engines read; 0: as the weights say
+  double engine_ms_per_token = 0;    ///< over an engine's link; 0: as the weights say
+  RingSegment segment;               ///< of the engines that keep the prompt's beginning
+  double unheard_gateway_ratio = 0;  ///< requests of unheard gateways for each own one
+  double tokens_per_ms = 0;          ///< at which engines read; 0: as the weights say
   std::uint64_t tie_break = 0;
   TimePoint now{};
 };
@@ -129,13 +129,13 @@
   double cost = 0;                  ///< milliseconds it is expected to take, with prices
   double wait = 0;                  ///< of that, until the prompt is read
   double ahead = 0;                 ///< of that, until what was sent before has been read
-  double tokens_ahead = 0;          ///< those tokens
+  double queued_tokens = 0;         ///< those tokens
   std::uint32_t cached_tokens = 0;  ///< expected to be in its cache, or fetched into it
   std::uint32_t known_tokens = 0;   ///< of those, what it has without a fetch
   /// Where parts come from that the chosen one lacks.
   std::optional<CacheSource> source;
-  bool lacks_parts = false;   ///< shared parts are not expected in its own cache
-  bool doubts_parts = false;  ///< they are, but may have been evicted
+  bool lacks_parts = false;     ///< shared parts are not expected in its own cache
+  bool may_lack_parts = false;  ///< they are, but may have been evicted
 };
 
 /// Returns the cheapest of `candidates`, which are never none. Pure.
--- a/libs/gateway/include/gateway/polled_choice.h
+++ b/libs/gateway/include/gateway/polled_choice.h
@@ -12,16 +12,16 @@
 namespace ridgehold {
 
 /// A choice, or nothing if no backend server can take the request.
-struct AskedChoice {
+struct PolledChoice {
   std::optional<BackendChoice> choice;
-  AskingRecord asking;
+  PollRecord asking;
 };
 
 /// Like ChooseFor, among a shortlist. With 295 gateways before 240 engines nobody
 /// can hear of every request in time; a question takes a round trip, and what it
 /// tells is true. The arguments outlive the call.
-net::awaitable<AskedChoice> AskAndChoose(GatewayState& state, const ExchangePlan& plan,
-                                         const InboundRequest& request,
-                                         const std::set<BackendId>& tried);
+net::awaitable<PolledChoice> PollAndChoose(GatewayState& state, const ExchangePlan& plan,
+                                           const InboundRequest& request,
+                                           const std::set<BackendId>& tried);
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/prefix_shares.h
+++ b/libs/gateway/include/gateway/prefix_shares.h
@@ -11,7 +11,7 @@
 namespace ridgehold {
 
 /// A piece of the circle [0, 1).
-struct CircleSegment {
+struct RingSegment {
   double begin = 0;
   double length = 1;
 };
@@ -29,14 +29,14 @@
   static constexpr std::chrono::seconds kHalfLife{10};
 
   /// A request whose prompt begins with `first` brought `tokens` to a cache.
-  void Note(std::uint64_t first, double tokens, TimePoint now);
+  void Record(std::uint64_t first, double tokens, TimePoint now);
 
   /// The tokens noted for a beginning, and for all.
   double TokensOf(std::uint64_t first) const;
   double total() const { return total_; }
 
   /// Beginnings that were never noted have a segment without length.
-  CircleSegment SegmentOf(std::uint64_t first) const;
+  RingSegment SegmentOf(std::uint64_t first) const;
 
  private:
   void Halve();
--- a/libs/gateway/include/gateway/prompt_sizes.h
+++ b/libs/gateway/include/gateway/prompt_sizes.h
@@ -12,7 +12,7 @@
 /// A moving mean for each service. Not thread-safe.
 class PromptSizes {
  public:
-  void Note(const ServiceId& service, std::uint32_t tokens) {
+  void Record(const ServiceId& service, std::uint32_t tokens) {
     const auto [entry, is_new] = means_.try_emplace(service, tokens);
     if (!is_new) entry->second += kStep * (tokens - entry->second);
   }
--- a/libs/gateway/include/gateway/request_log.h
+++ b/libs/gateway/include/gateway/request_log.h
@@ -30,14 +30,14 @@
 };
 
 /// What a choice cost in questions to other gateways.
-struct AskingRecord {
+struct PollRecord {
   std::uint32_t asked = 0;     ///< backend servers
   std::uint32_t answered = 0;  ///< of them, by the gateways that track them, in time
   Duration took{0};
 };
 
 /// What the backend server had asked of this gateway when a request was sent there.
-struct AskedOfSender {
+struct NoticeRecord {
   std::optional<RequestRate> limit;
   bool leaving = false;
   Duration rest_left{0};
@@ -57,7 +57,7 @@
   std::optional<TimePoint> first_event;
   std::uint32_t attempts = 0;
   // What decided the last choice of a backend server.
-  AskingRecord asking;
+  PollRecord asking;
   double expected_ms = 0;
   double wait_ms = 0;  ///< expected until the prompt is read
   double tokens_to_read = 0;
@@ -67,20 +67,20 @@
   std::uint32_t running_there = 0;  ///< of all gateways
   std::string fetched_from;
   std::optional<OlderWeightsUse> older_weights;
-  std::optional<AskedOfSender> asked_of_sender;  ///< none: nothing, as far as is known here
-  Permit permit;                      ///< of the last attempt, if its server names a limit
-  std::uint32_t permits_refused = 0;  ///< by whoever counts, at any server
-  std::optional<QuotaOutcome> quota;  ///< none: the workspace has no quota
-  std::uint64_t quota_tokens = 0;     ///< what the request needs of it
-  Duration quota_took{0};             ///< until it was known
-  int status = 0;                     ///< sent to the caller
+  std::optional<NoticeRecord> backend_notice;  ///< none: nothing, as far as is known here
+  Permit permit;                               ///< of the last attempt, if its server names a limit
+  std::uint32_t permits_refused = 0;           ///< by whoever counts, at any server
+  std::optional<QuotaOutcome> quota;           ///< none: the workspace has no quota
+  std::uint64_t quota_tokens = 0;              ///< what the request needs of it
+  Duration quota_took{0};                      ///< until it was known
+  int status = 0;                              ///< sent to the caller
   ResultCode code = ResultCode::kOk;
   bool out_of_retries = false;
   std::string detail;
 };
 
 /// Nothing if it has asked for nothing that this gateway has heard of.
-std::optional<AskedOfSender> AskedOfSenderBy(const Backend& backend, TimePoint now);
+std::optional<NoticeRecord> NoticeRecordOf(const Backend& backend, TimePoint now);
 
 /// Writes the request's line and counts it.
 void LogRequest(GatewayState& state, const RequestRecord& record);
--- a/libs/gateway/include/gateway/routing_snapshot.h
+++ b/libs/gateway/include/gateway/routing_snapshot.h
@@ -100,7 +100,7 @@
 };
 
 /// Everything a configuration holds, in no particular order.
-struct RoutingParts {
+struct RoutingConfig {
   ConfigVersion version;
   std::vector<RouteRule> routes;
   std::vector<ServiceRule> services;
@@ -113,7 +113,7 @@
  public:
   /// Fails with kInvalidCommand when a route names a service that is not there
   /// or two routes have the same host and prefix.
-  static Result<std::shared_ptr<const RoutingSnapshot>> Create(RoutingParts parts);
+  static Result<std::shared_ptr<const RoutingSnapshot>> Create(RoutingConfig parts);
 
   /// Returns the route of `host` with the longest prefix that begins `path`, or null.
   const RouteRule* FindRoute(std::string_view host, std::string_view path) const;
@@ -142,12 +142,12 @@
   bool has_quotas() const { return has_quotas_; }
 
  private:
-  explicit RoutingSnapshot(RoutingParts parts) : parts_(std::move(parts)) {}
+  explicit RoutingSnapshot(RoutingConfig parts) : parts_(std::move(parts)) {}
 
   Result<void> Index();
   void NoteObjective(const RouteRule& route);
 
-  RoutingParts parts_;
+  RoutingConfig parts_;
   /// Keyed by host, a newline and prefix.
   std::unordered_map<std::string, std::size_t> routes_;
   std::unordered_map<std::string, std::size_t> keys_;
--- a/libs/gateway/include/gateway/sampled_shares.h
+++ b/libs/gateway/include/gateway/sampled_shares.h
@@ -25,10 +25,10 @@
 
   /// A gateway has seen requests bring `total` tokens to caches, `tokens` of them
   /// with this beginning.
-  void Note(std::uint64_t first, double tokens, double total, TimePoint now);
+  void Record(std::uint64_t first, double tokens, double total, TimePoint now);
 
   /// Its segment of the circle; the whole circle while nothing is known of it.
-  CircleSegment SegmentOf(std::uint64_t first) const;
+  RingSegment SegmentOf(std::uint64_t first) const;
 
  private:
   struct Sample {
--- a/libs/gateway/include/gateway/shortlist.h
+++ b/libs/gateway/include/gateway/shortlist.h
@@ -20,7 +20,7 @@
   const PromptChain* chain = nullptr;  ///< null for calls of plain services
   ModelId model;
   std::optional<WeightsNumber> newest_weights;
-  CircleSegment segment;   ///< of the engines that keep the prompt's beginning
+  RingSegment segment;     ///< of the engines that keep the prompt's beginning
   std::uint64_t draw = 0;  ///< differs by request
   TimePoint now{};
 };
@@ -29,20 +29,20 @@
 /// so few; two drawn ones are as good as knowing the least busy of many
 /// (the power of two choices).
 struct ShortlistSizes {
-  std::size_t homes = 2;  ///< of a prompt that shares much, over all zones
-  std::size_t drawn = 2;  ///< of the own zone, beside them
+  std::size_t homes = 2;         ///< of a prompt that shares much, over all zones
+  std::size_t random_picks = 2;  ///< of the own zone, beside them
   /// Engines of the own zone that a gateway uses for prompts that share little
   /// and for plain calls; so few that connections there are used again before
   /// servers close them.
-  std::size_t usual = 6;
-  std::size_t asked_usual = 3;  ///< of these, drawn for each request
-  std::size_t widened = 4;      ///< more of all zones, when all of the first are busy
+  std::size_t subset_size = 6;
+  std::size_t subset_sample = 3;  ///< of these, drawn for each request
+  std::size_t extension = 4;      ///< more of all zones, when all of the first are busy
 };
 
 /// Candidates by rank of rendezvous hashing for the prompt, without regard to
 /// weights, the best first: prompts keep their homes while weights are loaded.
 /// Those whose hash lies in `segment` come before all others.
-std::vector<BackendPtr> HomesOf(const PromptChain& chain, const CircleSegment& segment,
+std::vector<BackendPtr> HomesOf(const PromptChain& chain, const RingSegment& segment,
                                 std::span<const BackendPtr> candidates, std::size_t count);
 
 /// Whom to ask about first; at least one if there are `candidates`. Those that
@@ -52,7 +52,9 @@
                                   const ShortlistSizes& sizes = {});
 
 /// More candidates of all zones, drawn, without those in `listed`. Pure.
-std::vector<BackendPtr> Widen(const ShortlistQuery& query, std::span<const BackendPtr> candidates,
-                              std::span<const BackendPtr> listed, const ShortlistSizes& sizes = {});
+std::vector<BackendPtr> ExtendShortlist(const ShortlistQuery& query,
+                                        std::span<const BackendPtr> candidates,
+                                        std::span<const BackendPtr> listed,
+                                        const ShortlistSizes& sizes = {});
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/transfer_links.h
+++ b/libs/gateway/include/gateway/transfer_links.h
@@ -23,13 +23,13 @@
 class TransferLinks {
  public:
   /// Engines do not begin a transfer that would wait longer.
-  static constexpr std::chrono::milliseconds kLongestWait{2'000};
+  static constexpr std::chrono::milliseconds kMaxWait{2'000};
 
   /// Until a transfer that is asked for now begins.
-  Duration WaitAt(LinkHash link, TimePoint now) const;
+  Duration QueueDelay(LinkHash link, TimePoint now) const;
 
   /// A transfer that takes `length` was asked for.
-  void Add(LinkHash link, Duration length, TimePoint now);
+  void Reserve(LinkHash link, Duration length, TimePoint now);
 
  private:
   std::unordered_map<LinkHash, TimePoint> busy_until_;
--- a/libs/gateway/include/gateway/waiting_attempts.h
+++ b/libs/gateway/include/gateway/waiting_attempts.h
@@ -30,7 +30,7 @@
   using Ticket = Attempts::Ticket;
 
   /// `limit` is how long a request may begin on weights after newer were named.
-  WaitingAttempts(net::any_io_executor executor, const NamedWeights& named,
+  WaitingAttempts(net::any_io_executor executor, const WeightsHistory& named,
                   std::chrono::milliseconds limit)
       : named_(named), limit_(limit), timer_(executor) {}
 
@@ -50,7 +50,7 @@
   /// Unless a review is due before.
   void ArmFor(TimePoint bound);
 
-  const NamedWeights& named_;
+  const WeightsHistory& named_;
   std::chrono::milliseconds limit_;
   Timer timer_;
   std::optional<TimePoint> armed_for_;
--- a/libs/gateway/include/gateway/weights_history.h
+++ b/libs/gateway/include/gateway/weights_history.h
@@ -16,14 +16,14 @@
 namespace ridgehold {
 
 /// Not thread-safe; time comes in as a value.
-class NamedWeights {
+class WeightsHistory {
  public:
   /// Numbers remembered of a model; by far more than are named within the
   /// time that a rollout may take.
-  static constexpr std::size_t kMostRemembered = 64;
+  static constexpr std::size_t kMaxEntries = 64;
 
   /// One number of one model.
-  struct Naming {
+  struct Announcement {
     WeightsNumber number;
     TimePoint at{};
     bool assumed = false;  ///< `at` is a careful guess, not known
@@ -32,31 +32,31 @@
   /// Takes a number that was named at `at`. What is known replaces what was
   /// assumed; of two alike the earlier moment holds. Returns whether the
   /// number is newer than all known ones.
-  bool Take(const ModelId& model, WeightsNumber number, TimePoint at, bool assumed = false);
+  bool Record(const ModelId& model, WeightsNumber number, TimePoint at, bool assumed = false);
 
-  /// Called after each Take that changed something.
+  /// Called after each Record that changed something.
   void SetListener(std::function<void()> listener) { on_change_ = std::move(listener); }
 
   /// All that is remembered, ascending by number.
-  const std::map<ModelId, std::vector<Naming>>& all() const { return namings_; }
+  const std::map<ModelId, std::vector<Announcement>>& all() const { return namings_; }
 
   /// The newest number, if any was named.
   std::optional<WeightsNumber> Newest(const ModelId& model) const;
 
   /// When the newest was named.
-  std::optional<TimePoint> NewestSince(const ModelId& model) const;
+  std::optional<TimePoint> NewestAnnouncedAt(const ModelId& model) const;
 
   /// The naming since which `number` has not been the newest, at the latest;
   /// nothing while it is.
-  std::optional<Naming> OutdatedBy(const ModelId& model, WeightsNumber number) const;
+  std::optional<Announcement> SupersededBy(const ModelId& model, WeightsNumber number) const;
 
   /// Its moment alone.
-  std::optional<TimePoint> OutdatedSince(const ModelId& model, WeightsNumber number) const;
+  std::optional<TimePoint> SupersededSince(const ModelId& model, WeightsNumber number) const;
 
   /// Whether the moment of any naming is a guess, so that others are to be asked.
-  bool guesses() const {
+  bool has_assumed_times() const {
     return std::ranges::any_of(namings_, [](const auto& model) {
-      return std::ranges::any_of(model.second, &Naming::assumed);
+      return std::ranges::any_of(model.second, &Announcement::assumed);
     });
   }
 
@@ -66,7 +66,7 @@
   }
 
   std::function<void()> on_change_;
-  std::map<ModelId, std::vector<Naming>> namings_;
+  std::map<ModelId, std::vector<Announcement>> namings_;
 };
 
 }  // namespace ridgehold
--- a/libs/gateway/src/backend_directory.cc
+++ b/libs/gateway/src/backend_directory.cc
@@ -25,7 +25,7 @@
 
 Registration BackendDirectory::Put(const BackendEntry& entry) {
   const Registration registration = Judge(entry);
-  if (registration == Registration::kOutdated) return registration;
+  if (registration == Registration::kStale) return registration;
   Supersede(entry);
   Store(entry, registration);
   return registration;
@@ -34,7 +34,7 @@
 Registration BackendDirectory::Judge(const BackendEntry& entry) const {
   const auto start = starts_.find(entry.id);
   const bool compared = start != starts_.end() && entry.started != StartStamp();
-  if (compared && entry.started < start->second) return Registration::kOutdated;
+  if (compared && entry.started < start->second) return Registration::kStale;
   const auto known = backends_.find(entry.id);
   if (known == backends_.end()) return Registration::kAdded;
   const bool later = compared && entry.started > known->second->entry.started;
@@ -48,7 +48,7 @@
   const bool is_new = !backend;
   if (is_new) backend = std::make_shared<Backend>();
   by_hash_.erase(HashOf(*backend));
-  backend->missing_until.reset();
+  backend->grace_until.reset();
   backend->removed = false;
   for (const auto& [model, weights] : entry.weights) RaiseWeights(*backend, model, weights);
   // An entry that does not tell the start is of the process that is known.
@@ -60,7 +60,7 @@
 }
 
 void BackendDirectory::KeepWord(const Backend& backend) {
-  const BackendWord& word = backend.word;
+  const BackendWord& word = backend.notice_state;
   const bool says_something = word.limit() || word.leaving() || word.rest_until() != TimePoint();
   if (!says_something) return;
   if (words_.size() >= kMostStarts) words_.clear();
@@ -69,7 +69,7 @@
 
 void BackendDirectory::TakeKeptWord(Backend& backend) {
   const auto kept = words_.extract(HashOf(backend));
-  if (!kept.empty()) backend.word = kept.mapped();
+  if (!kept.empty()) backend.notice_state = kept.mapped();
 }
 
 void BackendDirectory::NoteStart(const BackendEntry& entry) {
@@ -90,7 +90,7 @@
 }
 
 void BackendDirectory::TellEnd(const Backend& backend) const {
-  const bool announced = backend.entry.draining || backend.word.leaving();
+  const bool announced = backend.entry.draining || backend.notice_state.leaving();
   if (on_end_ && !announced) on_end_(backend);
 }
 
@@ -113,7 +113,7 @@
   if (found == backends_.end()) return;
   if (grace <= Duration::zero()) return Drop(id);
   Backend& backend = *found->second;
-  if (!backend.missing_until) backend.missing_until = now + grace;
+  if (!backend.grace_until) backend.grace_until = now + grace;
 }
 
 void BackendDirectory::Replace(const std::vector<BackendEntry>& entries, Duration grace,
@@ -121,12 +121,12 @@
   std::set<BackendId> listed;
   // Which of two at one address is newer, the list does not tell.
   for (const BackendEntry& entry : entries) {
-    if (Judge(entry) != Registration::kOutdated) Supersede(entry);
+    if (Judge(entry) != Registration::kStale) Supersede(entry);
   }
   for (const BackendEntry& entry : entries) {
     listed.insert(entry.id);
     const Registration registration = Judge(entry);
-    if (registration != Registration::kOutdated) Store(entry, registration);
+    if (registration != Registration::kStale) Store(entry, registration);
   }
   std::vector<BackendId> missing;
   for (const auto& [id, backend] : backends_) {
@@ -138,7 +138,7 @@
 std::vector<BackendId> BackendDirectory::Expire(TimePoint now) {
   std::vector<BackendId> expired;
   for (const auto& [id, backend] : backends_) {
-    if (backend->missing_until && now >= *backend->missing_until) expired.push_back(id);
+    if (backend->grace_until && now >= *backend->grace_until) expired.push_back(id);
   }
   for (const BackendId& id : expired) Remove(id, Duration::zero(), now);
   return expired;
@@ -148,8 +148,8 @@
   std::vector<BackendPtr> usable;
   for (const auto& [id, backend] : backends_) {
     if (backend->entry.service != service || backend->entry.draining) continue;
-    if (backend->superseded || backend->word.leaving()) continue;
-    if (backend->missing_until && now >= *backend->missing_until) continue;
+    if (backend->superseded || backend->notice_state.leaving()) continue;
+    if (backend->grace_until && now >= *backend->grace_until) continue;
     usable.push_back(backend);
   }
   return usable;
@@ -170,43 +170,44 @@
   const double unread = backend.unprefilled_tokens + backend.peers.unread_tokens;
   Duration wait = std::chrono::duration_cast<Duration>(
       std::chrono::duration<double, std::milli>(std::max(0.0, unread) / tokens_per_ms));
-  if (now - backend.begin_wait_seen < kWaitRemembered) wait = std::max(wait, backend.begin_wait);
+  if (now - backend.first_event_wait_at < kWaitRemembered)
+    wait = std::max(wait, backend.first_event_wait);
   if (backend.waiting_since.empty()) return wait;
   const auto oldest = std::chrono::duration_cast<Duration>(now - *backend.waiting_since.begin());
   return std::max(wait, oldest);
 }
 
-void BackendDirectory::NoteBegun(Backend& backend, Duration waited, TimePoint now) {
-  const bool recent = now - backend.begin_wait_seen < kWaitRemembered;
-  const Duration known = recent ? backend.begin_wait : Duration::zero();
+void BackendDirectory::RecordFirstEvent(Backend& backend, Duration waited, TimePoint now) {
+  const bool recent = now - backend.first_event_wait_at < kWaitRemembered;
+  const Duration known = recent ? backend.first_event_wait : Duration::zero();
   // A queue that grows is believed at once, one that shrinks step by step.
-  backend.begin_wait = std::max<Duration>(waited, (2 * known + waited) / 3);
-  backend.begin_wait_seen = now;
+  backend.first_event_wait = std::max<Duration>(waited, (2 * known + waited) / 3);
+  backend.first_event_wait_at = now;
 }
 
-void BackendDirectory::NoteReached(Backend& backend) {
-  backend.doubted = false;
+void BackendDirectory::RecordReachable(Backend& backend) {
+  backend.needs_probe = false;
   if (std::exchange(backend.reachable, true)) return;
   // Its failures were those of the way there.
   backend.avoid_until = {};
   backend.failures = 0;
 }
 
-void BackendDirectory::NoteSuccess(Backend& backend) {
+void BackendDirectory::RecordSuccess(Backend& backend) {
   backend.failures = 0;
   backend.error_rate *= 1 - kErrorRateStep;
 }
 
-void BackendDirectory::NoteFailure(Backend& backend, TimePoint now) {
-  const auto doubled = kFirstBackoff * (1U << std::min(backend.failures, 4U));
-  backend.avoid_until = std::max(
-      backend.avoid_until, now + std::min<std::chrono::milliseconds>(doubled, kLongestBackoff));
+void BackendDirectory::RecordFailure(Backend& backend, TimePoint now) {
+  const auto doubled = kInitialBackoff * (1U << std::min(backend.failures, 4U));
+  backend.avoid_until = std::max(backend.avoid_until,
+                                 now + std::min<std::chrono::milliseconds>(doubled, kMaxBackoff));
   ++backend.failures;
-  backend.doubted = true;
-  NoteErrorAnswer(backend);
+  backend.needs_probe = true;
+  RecordErrorResponse(backend);
 }
 
-void BackendDirectory::NoteErrorAnswer(Backend& backend) {
+void BackendDirectory::RecordErrorResponse(Backend& backend) {
   backend.error_rate += kErrorRateStep * (1 - backend.error_rate);
 }
 
--- a/libs/gateway/src/backend_load.cc
+++ b/libs/gateway/src/backend_load.cc
@@ -4,9 +4,9 @@
 
 namespace ridgehold {
 
-PlacedNews PlacedNewsOf(const ExchangePlan& plan, const InboundRequest& request,
-                        const BackendChoice& choice) {
-  PlacedNews placed;
+PlacementUpdate PlacementUpdateOf(const ExchangePlan& plan, const InboundRequest& request,
+                                  const BackendChoice& choice) {
+  PlacementUpdate placed;
   placed.backend = HashOf(*choice.backend);
   placed.new_tokens = choice.tokens_to_store + request.generation->max_output_tokens;
   placed.own_tokens = plan.chain->own_tokens() + request.generation->max_output_tokens;
@@ -25,7 +25,7 @@
                          const InboundRequest& request, const BackendChoice& choice, bool last_run)
     : state_(state),
       backend_(choice.backend),
-      tokens_ahead_(choice.tokens_ahead),
+      tokens_ahead_(choice.queued_tokens),
       fetches_(choice.fetch_from.has_value()),
       unread_tokens_(choice.tokens_to_read),
       unrepeatable_(last_run || !plan.route->MayRepeat()) {
@@ -35,7 +35,7 @@
   state_.NoteLoadChange();
   if (!plan.chain) return;
   waiting_ = backend_->waiting_since.insert(Clock::now());
-  state.TellPlaced(PlacedNewsOf(plan, request, choice));
+  state.TellPlaced(PlacementUpdateOf(plan, request, choice));
 }
 
 BackendLoad::~BackendLoad() {
@@ -45,16 +45,16 @@
   state_.NoteLoadChange();
 }
 
-void BackendLoad::Begun(TimePoint now) {
+void BackendLoad::OnFirstEvent(TimePoint now) {
   if (!waiting_) return;
   const auto waited = std::chrono::duration_cast<Duration>(now - **waiting_);
   // A wait for a link says nothing of reading.
   if (!fetches_) {
     const double tokens = tokens_ahead_ + unread_tokens_;
-    state_.reading_speed(backend_->entry.service).Note(tokens, waited);
+    state_.reading_speed(backend_->entry.service).Record(tokens, waited);
   }
   EndReading();
-  BackendDirectory::NoteBegun(*backend_, waited, now);
+  BackendDirectory::RecordFirstEvent(*backend_, waited, now);
   state_.NoteLoadChange();
 }
 
--- a/libs/gateway/src/backend_permit.cc
+++ b/libs/gateway/src/backend_permit.cc
@@ -21,7 +21,7 @@
 
 /// Whether a request may go while nobody who counts has answered.
 bool MayGoUncounted(Backend& backend, bool asked, const PermitAsker& asker, TimePoint now) {
-  BackendWord& word = backend.word;
+  BackendWord& word = backend.notice_state;
   if (!asked && now - word.limited_since() < kNobodyCountsYet) return true;
   if (word.TakeUncounted(HashOf(backend), asker.gateway, asker.gateways, now)) return true;
   word.NoteNoPermit(std::min<TimePoint>(UncountedTurns::NextTurn(now), now + kAskAgain));
@@ -37,7 +37,7 @@
       return PermitVerdict::kGranted;
     case QuotaVerdict::kOverQuota:
     case QuotaVerdict::kTooLarge:
-      backend.word.NoteNoPermit(now + std::max<Duration>(outcome.retry_after, kLeastBar));
+      backend.notice_state.NoteNoPermit(now + std::max<Duration>(outcome.retry_after, kLeastBar));
       return PermitVerdict::kRefused;
     case QuotaVerdict::kNotHolder:
       break;
@@ -48,7 +48,7 @@
 
 net::awaitable<Permit> AcquirePermit(GatewayState& state, BackendPtr backend) {
   Permit permit;
-  if (!backend->word.limit()) co_return permit;
+  if (!backend->notice_state.limit()) co_return permit;
   const TimePoint began = Clock::now();
   QuotaDemand demand;
   demand.subject = state.words().SubjectFor(*backend);
--- a/libs/gateway/src/backend_prober.cc
+++ b/libs/gateway/src/backend_prober.cc
@@ -56,7 +56,7 @@
 bool BackendProber::IsDue(const Backend& backend, TimePoint now) const {
   if (backend.superseded || backend.probing) return false;
   if (now - backend.probed_at < options_.pause) return false;
-  return backend.doubted || IsSuspicious(backend, now);
+  return backend.needs_probe || IsSuspicious(backend, now);
 }
 
 bool BackendProber::IsSuspicious(const Backend& backend, TimePoint now) const {
@@ -79,10 +79,10 @@
   if (connection->refused() && NothingOpen(*backend)) {
     state_.poison().NoteEnded(*backend, "refused", Clock::now());
   }
-  if (reached == backend->reachable && !backend->doubted) co_return;
+  if (reached == backend->reachable && !backend->needs_probe) co_return;
   const bool changed = reached != backend->reachable;
   if (reached) {
-    BackendDirectory::NoteReached(*backend);
+    BackendDirectory::RecordReachable(*backend);
   } else {
     state_.pool().Forget(backend->entry.address);  // what is kept is as dead
     state_.NoteUnreachable(*backend);
--- a/libs/gateway/src/backend_search.cc
+++ b/libs/gateway/src/backend_search.cc
@@ -46,16 +46,16 @@
   request_.record.deferred = std::chrono::duration_cast<Duration>(Clock::now() - began);
   // At the end of its time a request is sent although the engine is full, but not
   // without the permit that the engine's own word demands.
-  const bool demands_permit = !choice || choice->backend->word.limit();
+  const bool demands_permit = !choice || choice->backend->notice_state.limit();
   if (look == Look::kWait) look = demands_permit ? Look::kNone : Look::kFound;
   co_return look;
 }
 
 net::awaitable<std::optional<BackendChoice>> BackendSearch::ChooseSparing() {
   ExchangePlan& plan = request_.plan;
-  plan.spares_limited = SparesLimited(state_, plan, Clock::now());
+  plan.avoid_rate_limited = AvoidsRateLimited(state_, plan, Clock::now());
   std::optional<BackendChoice> choice = co_await Choose();
-  const bool spared = std::exchange(plan.spares_limited, false);
+  const bool spared = std::exchange(plan.avoid_rate_limited, false);
   if (spared && !choice) choice = co_await Choose();
   co_return choice;
 }
@@ -63,7 +63,7 @@
 net::awaitable<std::optional<BackendChoice>> BackendSearch::Choose() {
   const auto& [plan, inbound, tried, record, abandoned, wait_limit] = request_;
   if (!state_.asks_first()) co_return ChooseFor(state_, plan, inbound, tried, Clock::now());
-  AskedChoice asked = co_await AskAndChoose(state_, plan, inbound, tried);
+  PolledChoice asked = co_await PollAndChoose(state_, plan, inbound, tried);
   record.asking = asked.asking;
   co_return std::move(asked.choice);
 }
@@ -83,7 +83,7 @@
 }
 
 std::optional<TimePoint> BackendSearch::NextRoom() const {
-  return SoonestRoom(state_, request_.plan, request_.inbound, request_.tried, Clock::now());
+  return EarliestCapacity(state_, request_.plan, request_.inbound, request_.tried, Clock::now());
 }
 
 /// Whether waiting here is better than coming back: the caller's tries are few. The
@@ -100,8 +100,8 @@
 std::chrono::milliseconds BackendSearch::RetryAfter() const {
   const std::optional<TimePoint> room = NextRoom();
   const TimePoint now = Clock::now();
-  if (!room || *room <= now) return RetryAfterFor(request_.plan);
-  return RetryAfterRoom(request_.plan, request_.inbound, *room, now);
+  if (!room || *room <= now) return DefaultRetryAfter(request_.plan);
+  return RetryAfterCapacity(request_.plan, request_.inbound, *room, now);
 }
 
 }  // namespace ridgehold
--- a/libs/gateway/src/backend_words.cc
+++ b/libs/gateway/src/backend_words.cc
@@ -16,7 +16,7 @@
 constexpr std::chrono::milliseconds kLongestDoubt{5'000};
 
 void LogWord(const char* event, const Backend& backend) {
-  const BackendWord& word = backend.word;
+  const BackendWord& word = backend.notice_state;
   const std::string limit =
       word.limit() ? fmt::format("{:.3f}", word.limit()->per_second()) : "none";
   Log(LogLevel::kInfo, event,
@@ -37,21 +37,21 @@
          {"address", backend.entry.address},
          {"rest_ms", std::to_string(notice.rest->count())}});
   }
-  const bool changed = backend.word.TakeNotice(notice, sent, now);
+  const bool changed = backend.notice_state.TakeNotice(notice, sent, now);
   if (notice.limit) counted_until_ = now + kCounted;
   if (changed) {
     LogWord("backend notice", backend);
     NoteChange(backend, now);
   }
-  const bool tells = changed || (notice.rest && backend.word.TellsRest(now));
-  if (!tells || !backend.word.BeginTelling(now)) return;
+  const bool tells = changed || (notice.rest && backend.notice_state.TellsRest(now));
+  if (!tells || !backend.notice_state.BeginTelling(now)) return;
   news_.items.push_back(NewsOf(backend, now));
   if (on_news_) on_news_();
 }
 
 BackendNews BackendWords::NewsOf(const Backend& backend, TimePoint now) {
-  BackendNews news = backend.word.News(HashOf(backend));
-  const TimePoint rest_until = backend.word.rest_until();
+  BackendNews news = backend.notice_state.News(HashOf(backend));
+  const TimePoint rest_until = backend.notice_state.rest_until();
   if (now < rest_until) {
     news.rest_left = std::chrono::ceil<std::chrono::milliseconds>(rest_until - now);
   }
@@ -62,7 +62,7 @@
                             TimePoint now) {
   if (!news.rest_left) return;
   const TimePoint until = now + std::min(*news.rest_left, kLongestDoubt);
-  if (!backend.word.NoteRestOfOther(gateway, until, now)) return;
+  if (!backend.notice_state.NoteRestOfOther(gateway, until, now)) return;
   Log(LogLevel::kInfo, "backend rests for others",
       {{"backend", backend.entry.id.value()},
        {"address", backend.entry.address},
@@ -76,9 +76,9 @@
     const BackendPtr backend = directory_.FindByHash(item.backend);
     if (!backend) continue;
     TakeRest(*backend, item, gateway, now);
-    const BackendNews before = backend->word.News(item.backend);
-    if (backend->word.TakeNews(item, now)) better.items.push_back(before);
-    if (backend->word.News(item.backend) == before) continue;
+    const BackendNews before = backend->notice_state.News(item.backend);
+    if (backend->notice_state.TakeNews(item, now)) better.items.push_back(before);
+    if (backend->notice_state.News(item.backend) == before) continue;
     LogWord("backend notice told", *backend);
     NoteChange(*backend, now);
   }
@@ -95,7 +95,7 @@
 }
 
 void BackendWords::NoteChange(const Backend& backend, TimePoint now) {
-  if (!backend.word.limit()) return;
+  if (!backend.notice_state.limit()) return;
   counted_until_ = now + kCounted;
   // Nobody takes them out where no share is held. Requests bring their terms along.
   if (new_terms_.size() >= kMostNewTerms) new_terms_.clear();
@@ -108,7 +108,7 @@
 }
 
 QuotaTerms BackendWords::TermsFor(const Backend& backend) const {
-  return TermsOf(*backend.word.limit(), tolerance_, backend.word.number());
+  return TermsOf(*backend.notice_state.limit(), tolerance_, backend.notice_state.number());
 }
 
 }  // namespace ridgehold
--- a/libs/gateway/src/engine_cache.cc
+++ b/libs/gateway/src/engine_cache.cc
@@ -35,7 +35,7 @@
   }
 }
 
-EngineCache::Holding EngineCache::Find(std::span<const SharedPart> parts, Duration reading_time,
+EngineCache::Holding EngineCache::Find(std::span<const SharedPart> parts, Duration prefill_delay,
                                        TimePoint now) const {
   Holding holding;
   const Entry* last = nullptr;
@@ -43,7 +43,7 @@
     const auto found = by_hash_.find(part.hash);
     if (found == by_hash_.end()) break;
     last = &*found->second;
-    const bool read = holding.readable == holding.tokens && now - last->placed >= reading_time;
+    const bool read = holding.readable == holding.tokens && now - last->placed >= prefill_delay;
     holding.tokens += last->tokens;
     if (read) holding.readable = holding.tokens;
   }
--- a/libs/gateway/src/exchange_plan.cc
+++ b/libs/gateway/src/exchange_plan.cc
@@ -60,7 +60,7 @@
                     TimePoint now) {
   const auto own = WeightsOf(backend, model);
   if (!own) return true;
-  const auto outdated = state.named_weights().OutdatedSince(model, *own);
+  const auto outdated = state.named_weights().SupersededSince(model, *own);
   if (!outdated) return true;
   const double speed = state.TokensPerMs(backend.entry.service);
   const TimePoint begins = now + BackendDirectory::ExpectedWait(backend, speed, now);
@@ -71,11 +71,11 @@
 std::chrono::milliseconds PauseAfterRefusal(const GatewayState& state,
                                             const InboundRequest& request, const Backend& backend,
                                             const AttemptFacts& facts) {
-  if (facts.status == kMisdirected) return BackendDirectory::kFirstBackoff;
+  if (facts.status == kMisdirected) return BackendDirectory::kInitialBackoff;
   if (!request.generation) return kRefusalPause;
   const ModelId& model = request.generation->model;
   const auto own = WeightsOf(backend, model);
-  const bool outdated = own && state.named_weights().OutdatedSince(model, *own);
+  const bool outdated = own && state.named_weights().SupersededSince(model, *own);
   return outdated ? kReloadPause : kRefusalPause;
 }
 
@@ -122,14 +122,14 @@
 /// to have them.
 void ChooseCacheSource(const ExchangePlan& plan, std::span<const BackendPtr> candidates,
                        const Placement& placement, BackendChoice& choice) {
-  if (!placement.lacks_parts && !placement.doubts_parts) return;
+  if (!placement.lacks_parts && !placement.may_lack_parts) return;
   if (placement.source) choice.fetch_length = DurationOf(placement.source->link_ms);
   if (placement.source && placement.source->engine) {
     choice.fetch_backend = candidates[*placement.source->engine];
     choice.fetch_from = choice.fetch_backend->entry.address;
     return;
   }
-  const KvCacheStore* store = StoreFor(plan);
+  const KvCacheStore* store = KvStoreForPrompt(plan);
   if (store == nullptr) return;
   choice.fetch_from = store->address;
   choice.save_to = store->address;
@@ -170,8 +170,8 @@
                                       const std::set<BackendId>& tried, TimePoint now) {
   std::vector<BackendPtr> candidates = state.directory().Usable(plan.service, now);
   std::erase_if(candidates, [&](const BackendPtr& backend) {
-    if (tried.contains(backend->entry.id) || backend->word.Bars(now)) return true;
-    if (plan.spares_limited && backend->word.limit()) return true;
+    if (tried.contains(backend->entry.id) || backend->notice_state.Bars(now)) return true;
+    if (plan.avoid_rate_limited && backend->notice_state.limit()) return true;
     if (!request.generation) return false;
     return !WeightsAllowed(state, *backend, request.generation->model, now);
   });
@@ -182,7 +182,7 @@
   return candidates;
 }
 
-bool SparesLimited(const GatewayState& state, const ExchangePlan& plan, TimePoint now) {
+bool AvoidsRateLimited(const GatewayState& state, const ExchangePlan& plan, TimePoint now) {
   // Fewer without a limit could not carry all small requests.
   constexpr double kLeastPart = 0.1;
   const bool small = plan.chain && state.words().AnyLimit(now) &&
@@ -190,37 +190,38 @@
   if (!small) return false;
   const std::vector<BackendPtr> usable = state.directory().Usable(plan.service, now);
   const auto unlimited = std::ranges::count_if(
-      usable, [](const BackendPtr& backend) { return !backend->word.limit(); });
+      usable, [](const BackendPtr& backend) { return !backend->notice_state.limit(); });
   return static_cast<double>(unlimited) >= kLeastPart * static_cast<double>(usable.size());
 }
 
-std::optional<TimePoint> SoonestRoom(const GatewayState& state, const ExchangePlan& plan,
-                                     const InboundRequest& request,
-                                     const std::set<BackendId>& tried, TimePoint now) {
+std::optional<TimePoint> EarliestCapacity(const GatewayState& state, const ExchangePlan& plan,
+                                          const InboundRequest& request,
+                                          const std::set<BackendId>& tried, TimePoint now) {
   std::optional<TimePoint> soonest;
   for (const BackendPtr& backend : state.directory().Usable(plan.service, now)) {
     const bool may_take =
         !request.generation || WeightsAllowed(state, *backend, request.generation->model, now);
     if (tried.contains(backend->entry.id) || !may_take) continue;
-    const TimePoint room = std::max(now, backend->word.barred_until());
+    const TimePoint room = std::max(now, backend->notice_state.barred_until());
     soonest = soonest ? std::min(*soonest, room) : room;
   }
   return soonest;
 }
 
-std::chrono::milliseconds RetryAfterFor(const ExchangePlan& plan) {
+std::chrono::milliseconds DefaultRetryAfter(const ExchangePlan& plan) {
   // A quarter of the objective leaves time to be served within it.
   const auto quarter = plan.route->latency_objective / 4;
   return std::max<std::chrono::milliseconds>(quarter, std::chrono::milliseconds(50));
 }
 
-std::chrono::milliseconds RetryAfterRoom(const ExchangePlan& plan, const InboundRequest& request,
-                                         TimePoint room, TimePoint now) {
+std::chrono::milliseconds RetryAfterCapacity(const ExchangePlan& plan,
+                                             const InboundRequest& request, TimePoint room,
+                                             TimePoint now) {
   constexpr double kSpread = 0.5;
   const std::uint64_t hash = XXH3_64bits(request.id.value().data(), request.id.value().size());
   const double drawn = static_cast<double>(hash) / static_cast<double>(UINT64_MAX);
   const auto until = std::chrono::duration<double, std::milli>(room - now);
-  const std::chrono::duration<double, std::milli> least = RetryAfterFor(plan);
+  const std::chrono::duration<double, std::milli> least = DefaultRetryAfter(plan);
   const auto wait = std::max(until, least) * (1 + kSpread * drawn);
   return std::chrono::ceil<std::chrono::milliseconds>(wait);
 }
@@ -235,7 +236,7 @@
 
 /// The store that keeps the prompt's shared parts, or null. Chosen by all of
 /// them: by the first alone, a few common beginnings would fill one store's link.
-const KvCacheStore* StoreFor(const ExchangePlan& plan) {
+const KvCacheStore* KvStoreForPrompt(const ExchangePlan& plan) {
   if (plan.chain->parts.empty()) return nullptr;
   return plan.snapshot->KvStoreFor(plan.chain->parts.back().hash);
 }
@@ -245,7 +246,7 @@
                           const LoadAnswer* answers, TimePoint now) {
   PlacementQuery query;
   query.own_zone = state.zone();
-  query.unheard_share = state.unheard_gateways();
+  query.unheard_gateway_ratio = state.unheard_gateways();
   query.tie_break = state.NextSequence();
   query.now = now;
   query.answers = answers;
@@ -255,7 +256,7 @@
     if (const EngineProfile* engine = EngineOf(plan)) query.cache_tokens = engine->cache_tokens;
     query.links = &state.links();
     query.engine_ms_per_token = LinkMsPerToken(plan, EngineLinkMbps(plan));
-    if (const KvCacheStore* store = StoreFor(plan)) {
+    if (const KvCacheStore* store = KvStoreForPrompt(plan)) {
       const LinkHash link = LinkOf(store->address);
       const double token_ms = LinkMsPerToken(plan, store->link_mbps);
       query.store = KvStoreView{store->zone, link, token_ms, &state.KeptAt(link)};
@@ -266,16 +267,16 @@
     }
     query.model = request.generation->model;
     query.newest_weights = state.named_weights().Newest(query.model);
-    query.newest_since = state.named_weights().NewestSince(query.model);
+    query.newest_since = state.named_weights().NewestAnnouncedAt(query.model);
   }
   const Placement placement = ChooseBackend(query, candidates, state.weights());
   BackendChoice choice;
   choice.backend = candidates[placement.index];
   choice.expected_ms = placement.cost;
-  choice.ahead_ms = placement.ahead;
+  choice.queue_ms = placement.ahead;
   choice.wait_ms = placement.wait;
   if (request.generation) {
-    choice.tokens_ahead = placement.tokens_ahead;
+    choice.queued_tokens = placement.queued_tokens;
     choice.known_tokens = placement.known_tokens;
     choice.tokens_to_read =
         plan.chain->prompt_tokens - std::min(placement.cached_tokens, plan.chain->prompt_tokens);
@@ -290,8 +291,8 @@
 AdmissionQuery AdmissionQueryFor(const ExchangePlan& plan, const BackendChoice& choice,
                                  TimePoint now) {
   AdmissionQuery query;
-  query.ahead = DurationOf(choice.ahead_ms);
-  query.own = DurationOf(choice.wait_ms - choice.ahead_ms);
+  query.ahead = DurationOf(choice.queue_ms);
+  query.own = DurationOf(choice.wait_ms - choice.queue_ms);
   query.room = plan.snapshot->ShortestObjective(plan.service);
   query.objective = plan.route->latency_objective;
   query.age = std::chrono::duration_cast<Duration>(now - plan.received);
@@ -302,8 +303,8 @@
                   const BackendChoice& choice, TimePoint now) {
   const Backend& backend = *choice.backend;
   if (backend.removed || backend.superseded || backend.entry.draining) return false;
-  if (backend.missing_until && now >= *backend.missing_until) return false;
-  if (backend.word.leaving() || now < backend.word.rest_until()) return false;
+  if (backend.grace_until && now >= *backend.grace_until) return false;
+  if (backend.notice_state.leaving() || now < backend.notice_state.rest_until()) return false;
   return !request.generation || WeightsAllowed(state, backend, request.generation->model, now);
 }
 
@@ -328,7 +329,7 @@
                                               const InboundRequest& request,
                                               std::optional<WeightsNumber> weights, TimePoint now) {
   if (!request.generation || !weights) return std::nullopt;
-  const auto newer = state.named_weights().OutdatedBy(request.generation->model, *weights);
+  const auto newer = state.named_weights().SupersededBy(request.generation->model, *weights);
   if (!newer) return std::nullopt;
   OlderWeightsUse use;
   use.weights = *weights;
@@ -338,8 +339,8 @@
   return use;
 }
 
-TimePoint HeadLimit(const GatewayState& state, const ExchangePlan& plan, const AttemptFacts& facts,
-                    TimePoint now) {
+TimePoint HeadDeadline(const GatewayState& state, const ExchangePlan& plan,
+                       const AttemptFacts& facts, TimePoint now) {
   const bool another_run = facts.may_repeat && facts.runs + 1 < facts.max_runs;
   if (!another_run) return plan.answer_by;
   const bool stream = plan.route->kind == RouteKind::kStream;
@@ -350,8 +351,8 @@
   return std::min<TimePoint>(plan.answer_by, now + patience);
 }
 
-TimePoint EventLimit(const ExchangePlan& plan, const AttemptFacts& facts, bool passed_any,
-                     TimePoint now) {
+TimePoint EventDeadline(const ExchangePlan& plan, const AttemptFacts& facts, bool passed_any,
+                        TimePoint now) {
   const bool another_run = facts.may_repeat && facts.runs + 1 < facts.max_runs;
   if (!another_run || !passed_any) return plan.answer_by;
   return std::min<TimePoint>(plan.answer_by, now + kLongestStreamSilence);
@@ -364,27 +365,27 @@
   return !IsSuccess(head.status) || head.has_signature;
 }
 
-bool IsOlderAnswer(const AnswerHead& head) { return !head.request.value().empty(); }
+bool IsStaleAnswer(const AnswerHead& head) { return !head.request.value().empty(); }
 
-void LearnFromHead(GatewayState& state, Backend& backend, const InboundRequest& request,
-                   const AnswerHead& head, TimePoint sent) {
+void ApplyAnswerHead(GatewayState& state, Backend& backend, const InboundRequest& request,
+                     const AnswerHead& head, TimePoint sent) {
   // Another incarnation speaks of itself.
   if (head.status != kMisdirected) state.words().Note(backend, head.notice, sent, Clock::now());
   if (!request.generation || !head.weights) return;
   state.NoteWeights(backend, request.generation->model, *head.weights);
 }
 
-void NoteOutcome(const GatewayState& state, const InboundRequest& request, Backend& backend,
-                 const AttemptFacts& facts, TimePoint now) {
+void RecordOutcome(const GatewayState& state, const InboundRequest& request, Backend& backend,
+                   const AttemptFacts& facts, TimePoint now) {
   switch (facts.end) {
     case AttemptEnd::kStreamed:
-      return BackendDirectory::NoteSuccess(backend);
+      return BackendDirectory::RecordSuccess(backend);
     case AttemptEnd::kAnswered:
       break;
     case AttemptEnd::kNotSent:
     case AttemptEnd::kBroken:
     case AttemptEnd::kTimedOut:
-      return BackendDirectory::NoteFailure(backend, now);
+      return BackendDirectory::RecordFailure(backend, now);
     case AttemptEnd::kCallerGone:
     case AttemptEnd::kSkipped:
     case AttemptEnd::kWithdrawn:
@@ -395,8 +396,8 @@
     backend.avoid_until = std::max<TimePoint>(backend.avoid_until, now + pause);
     return;
   }
-  if (facts.status >= kFirstServerError) return BackendDirectory::NoteErrorAnswer(backend);
-  BackendDirectory::NoteSuccess(backend);
+  if (facts.status >= kFirstServerError) return BackendDirectory::RecordErrorResponse(backend);
+  BackendDirectory::RecordSuccess(backend);
 }
 
 ResultCode NotRunCode(ResultCode last, const AttemptFacts& facts) {
@@ -408,7 +409,7 @@
   return Describe(last).execution == Execution::kNotRun ? ResultCode::kBackendBroken : last;
 }
 
-std::optional<ResultCode> RefusalOf(QuotaVerdict verdict) {
+std::optional<ResultCode> QuotaRefusalCode(QuotaVerdict verdict) {
   switch (verdict) {
     case QuotaVerdict::kGranted:
       return std::nullopt;
--- a/libs/gateway/src/gateway_state.cc
+++ b/libs/gateway/src/gateway_state.cc
@@ -7,7 +7,7 @@
 
 namespace ridgehold {
 
-ReadingSpeed& GatewayState::reading_speed(const ServiceId& service) {
+PrefillRateEstimator& GatewayState::reading_speed(const ServiceId& service) {
   return reading_speeds_.try_emplace(service, placement_weights_.prefill_tokens_per_ms)
       .first->second;
 }
@@ -18,8 +18,8 @@
   return observed ? found->second.tokens_per_ms() : placement_weights_.prefill_tokens_per_ms;
 }
 
-NewsItems GatewayState::TakeNews(std::size_t most_placed) {
-  NewsItems taken;
+GossipItems GatewayState::TakeNews(std::size_t most_placed) {
+  GossipItems taken;
   std::swap(taken.holds, news_.holds);
   std::swap(taken.weights, news_.weights);
   std::swap(taken.unreachable, news_.unreachable);
@@ -49,7 +49,7 @@
   if (parts.empty()) return {};
   std::vector<BackendPtr> holders;
   for (const auto& [id, backend] : directory_.all()) {
-    const bool usable = !backend->superseded && !backend->missing_until && backend->reachable &&
+    const bool usable = !backend->superseded && !backend->grace_until && backend->reachable &&
                         backend->hold_until <= now;
     if (usable && backend->cache.Contains(parts.back().hash)) holders.push_back(backend);
   }
@@ -64,24 +64,24 @@
   return hashes;
 }
 
-LoadNews GatewayState::OwnLoadAt(const Backend& backend, TimePoint now) {
+LoadUpdate GatewayState::OwnLoadAt(const Backend& backend, TimePoint now) {
   return {HashOf(backend), backend.in_flight,
           static_cast<std::uint32_t>(std::max(0.0, backend.unprefilled_tokens)),
           backend.unrepeatable, Uncovered(backend, now)};
 }
 
-void GatewayState::NoteTransfers(const PlacedNews& placed, TimePoint now) {
-  if (placed.fetched_from != 0) links_.Add(placed.fetched_from, placed.fetch_length, now);
+void GatewayState::NoteTransfers(const PlacementUpdate& placed, TimePoint now) {
+  if (placed.fetched_from != 0) links_.Reserve(placed.fetched_from, placed.fetch_length, now);
   if (placed.saved_to == 0) return;
-  links_.Add(placed.saved_to, placed.save_length, now);
-  const std::vector<SharedPart> parts = KeptParts(placed.parts, placed.weights);
+  links_.Reserve(placed.saved_to, placed.save_length, now);
+  const std::vector<SharedPart> parts = StoredParts(placed.parts, placed.weights);
   const KvCacheStore* store = StoreAt(placed.saved_to);
   kept_[placed.saved_to].Use(parts, 0, store != nullptr ? store->cache_tokens : 0, now);
 }
 
-void GatewayState::TakePlaced(const PlacedNews& placed, TimePoint now) {
+void GatewayState::TakePlaced(const PlacementUpdate& placed, TimePoint now) {
   if (!placed.parts.empty()) {
-    prefix_shares_.Note(placed.parts.front().hash, placed.new_tokens, now);
+    prefix_shares_.Record(placed.parts.front().hash, placed.new_tokens, now);
   }
   NoteTransfers(placed, now);
   const BackendPtr backend = directory_.FindByHash(placed.backend);
@@ -89,9 +89,9 @@
   backend->cache.Use(placed.parts, placed.own_tokens, CacheTokensOf(backend->entry.service), now);
 }
 
-void GatewayState::TellPlaced(PlacedNews placed) {
+void GatewayState::TellPlaced(PlacementUpdate placed) {
   const TimePoint now = Clock::now();
-  if (!placed.parts.empty()) own_shares_.Note(placed.parts.front().hash, placed.new_tokens, now);
+  if (!placed.parts.empty()) own_shares_.Record(placed.parts.front().hash, placed.new_tokens, now);
   TakePlaced(placed, now);
   news_.placed.push_back(std::move(placed));
   if (on_placed_) on_placed_();
@@ -111,7 +111,7 @@
   for (const auto& [hash, report] : answer.backends) TakeReport(asked, report, now);
   for (const BeginningSample& sample : answer.samples) {
     if (asked.parts.empty()) break;
-    sampled_shares_.Note(asked.parts.front().hash, sample.tokens, sample.total, now);
+    sampled_shares_.Record(asked.parts.front().hash, sample.tokens, sample.total, now);
   }
   co_return answer;
 }
@@ -121,9 +121,9 @@
   const BackendPtr backend = directory_.FindByHash(report.backend);
   if (!backend) return;
   backend->peers = report.work;
-  backend->peers_seen = now;
+  backend->peers_updated_at = now;
   backend->hold_until = now + report.hold;
-  if (!report.reachable) backend->doubted = true;
+  if (!report.reachable) backend->needs_probe = true;
   if (report.weights != WeightsNumber()) {
     BackendDirectory::NoteWeights(*backend, question.model, report.weights);
   }
@@ -133,8 +133,8 @@
                                      TimePoint now) {
   BackendReport report;
   report.backend = HashOf(backend);
-  const LoadNews own = OwnLoadAt(backend, now);
-  report.work = backend.heard;
+  const LoadUpdate own = OwnLoadAt(backend, now);
+  report.work = backend.direct_peers;
   report.work.running += own.running;
   report.work.unread_tokens += own.unread_tokens;
   report.work.unrepeatable += own.unrepeatable;
@@ -143,17 +143,17 @@
       std::max(Duration::zero(), std::chrono::duration_cast<Duration>(backend.hold_until - now));
   const auto weights = backend.weights.find(question.model);
   if (weights != backend.weights.end()) report.weights = weights->second;
-  report.held = backend.cache.Find(question.parts, placement_weights_.reading_time, now);
-  report.link_wait = links_.WaitAt(LinkOf(backend.entry.address), now);
+  report.held = backend.cache.Find(question.parts, placement_weights_.prefill_delay, now);
+  report.link_wait = links_.QueueDelay(LinkOf(backend.entry.address), now);
   report.reachable = backend.reachable;
   return report;
 }
 
 StoreReport GatewayState::ReportOn(const AskedStore& store, const LoadQuestion& question,
                                    TimePoint now) {
-  const std::vector<SharedPart> parts = KeptParts(question.parts, question.weights);
-  return {store.link, kept_[store.link].Find(parts, placement_weights_.reading_time, now).readable,
-          links_.WaitAt(store.link, now)};
+  const std::vector<SharedPart> parts = StoredParts(question.parts, question.weights);
+  return {store.link, kept_[store.link].Find(parts, placement_weights_.prefill_delay, now).readable,
+          links_.QueueDelay(store.link, now)};
 }
 
 void GatewayState::Hold(Backend& backend, std::chrono::milliseconds length, TimePoint now) {
@@ -163,7 +163,7 @@
 }
 
 void GatewayState::NoteUnreachable(Backend& backend) {
-  backend.doubted = true;
+  backend.needs_probe = true;
   if (!std::exchange(backend.reachable, false)) return;
   news_.unreachable.push_back(HashOf(backend));
   NoteLoadChange();
--- a/libs/gateway/src/placement.cc
+++ b/libs/gateway/src/placement.cc
@@ -70,13 +70,13 @@
     const Backend& backend = *candidates_[index];
     Placement placement;
     placement.index = index;
-    placement.cost = backend.error_rate * weights_.failing;
+    placement.cost = backend.error_rate * weights_.error_penalty;
     if (backend.entry.zone != query_.own_zone) placement.cost += weights_.other_zone;
     if (IsAvoided(backend, query_.now) || !backend.reachable) placement.cost += kAvoided;
-    if (backend.missing_until) placement.cost += kAvoided / 2;
-    if (backend.hold_until > query_.now) placement.cost += weights_.held;
+    if (backend.grace_until) placement.cost += kAvoided / 2;
+    if (backend.hold_until > query_.now) placement.cost += weights_.hold_penalty;
     if (query_.answers != nullptr && ReportOn(backend) == nullptr) {
-      placement.cost += weights_.unanswered;
+      placement.cost += weights_.no_report_penalty;
     }
     if (query_.chain == nullptr) {
       placement.cost +=
@@ -84,8 +84,8 @@
       return placement;
     }
     PriceCache(index, placement);
-    placement.tokens_ahead = Together(backend.unprefilled_tokens, backend.peers.unread_tokens);
-    placement.ahead = placement.tokens_ahead / TokensPerMs();
+    placement.queued_tokens = Together(backend.unprefilled_tokens, backend.peers.unread_tokens);
+    placement.ahead = placement.queued_tokens / TokensPerMs();
     placement.wait = std::max(placement.ahead, FetchTime(placement)) + OwnReading(placement);
     placement.cost += placement.wait + PriceOfRunning(backend);
     placement.cost += PriceOfWeights(backend);
@@ -102,8 +102,8 @@
     const std::uint32_t shared = query_.chain->shared_tokens;
     placement.known_tokens = holdings_[index].known_tokens;
     placement.cached_tokens = placement.known_tokens;
-    if (shared < kWorthFetching) return;
-    placement.doubts_parts = holdings_[index].doubtful;
+    if (shared < kMinFetchTokens) return;
+    placement.may_lack_parts = holdings_[index].doubtful;
     if (placement.cached_tokens >= shared) return;
     placement.lacks_parts = true;
     placement.source = BestSource(index);
@@ -132,7 +132,7 @@
   /// What the source saves in milliseconds.
   double SavedBy(std::size_t index, const CacheSource& source) const {
     const std::uint32_t tokens = source.tokens - holdings_[index].known_tokens;
-    return weights_.reading_again * tokens / TokensPerMs() - source.ms;
+    return weights_.reprefill_factor * tokens / TokensPerMs() - source.ms;
   }
 
   bool MayFetch(std::size_t to, std::size_t from) const {
@@ -176,13 +176,13 @@
   /// What holds for all candidates alike, so that it is found out once: engines
   /// that parts may be fetched from, what the store keeps, and their links.
   void FindSources() {
-    if (query_.chain->shared_tokens < kWorthFetching) return;
+    if (query_.chain->shared_tokens < kMinFetchTokens) return;
     if (query_.store) LookIntoStore();
     if (query_.store && !weights_.engines_as_sources) return;
     for (std::size_t i = 0; i < candidates_.size(); ++i) {
       const Backend& backend = *candidates_[i];
       const bool usable = !IsAvoided(backend, query_.now) && backend.reachable &&
-                          !backend.missing_until && !holdings_[i].doubtful &&
+                          !backend.grace_until && !holdings_[i].doubtful &&
                           holdings_[i].fetchable_tokens > 0;
       if (usable) engine_sources_.push_back({i, EngineLinkWait(backend)});
     }
@@ -211,8 +211,8 @@
     }
     // While another engine reads the parts nobody has them to fetch from.
     if (query_.store->kept == nullptr) return being_read_ ? 0 : query_.chain->shared_tokens;
-    const std::vector<SharedPart> parts = KeptParts(query_.chain->parts, weights);
-    return query_.store->kept->Find(parts, weights_.reading_time, query_.now).readable;
+    const std::vector<SharedPart> parts = StoredParts(query_.chain->parts, weights);
+    return query_.store->kept->Find(parts, weights_.prefill_delay, query_.now).readable;
   }
 
   double EngineLinkWait(const Backend& backend) const {
@@ -222,7 +222,7 @@
   }
 
   double LinkWait(LinkHash link) const {
-    return query_.links != nullptr ? LinkWait(query_.links->WaitAt(link, query_.now)) : 0;
+    return query_.links != nullptr ? LinkWait(query_.links->QueueDelay(link, query_.now)) : 0;
   }
 
   double LinkWait(Duration wait) const {
@@ -249,7 +249,7 @@
 
   /// All gateways' work, where those that are not heard do as this one does.
   double Together(double own, double peers) const {
-    return own * (1 + query_.unheard_share) + peers;
+    return own * (1 + query_.unheard_gateway_ratio) + peers;
   }
 
   double PriceOfWeights(const Backend& backend) const {
@@ -315,13 +315,14 @@
     const auto found = Held(backend);
     holding.known_tokens = found.tokens;
     holding.fetchable_tokens = found.readable;
-    const double safe = (1 - weights_.doubtful_part) * static_cast<double>(query_.cache_tokens);
+    const double safe =
+        (1 - weights_.eviction_risk_fraction) * static_cast<double>(query_.cache_tokens);
     holding.doubtful = static_cast<double>(found.used_since) >= safe;
   }
 
   EngineCache::Holding Held(const Backend& backend) const {
     if (query_.answers == nullptr) {
-      return backend.cache.Find(query_.chain->parts, weights_.reading_time, query_.now);
+      return backend.cache.Find(query_.chain->parts, weights_.prefill_delay, query_.now);
     }
     const BackendReport* report = ReportOn(backend);
     EngineCache::Holding held = report != nullptr ? report->held : EngineCache::Holding();
@@ -360,14 +361,14 @@
   return chain;
 }
 
-SharedPart KeptPart(const SharedPart& part, WeightsNumber weights) {
+SharedPart StoredPart(const SharedPart& part, WeightsNumber weights) {
   return {Hash(weights.value(), part.hash), part.tokens};
 }
 
-std::vector<SharedPart> KeptParts(std::span<const SharedPart> parts, WeightsNumber weights) {
+std::vector<SharedPart> StoredParts(std::span<const SharedPart> parts, WeightsNumber weights) {
   std::vector<SharedPart> kept;
   kept.reserve(parts.size());
-  for (const SharedPart& part : parts) kept.push_back(KeptPart(part, weights));
+  for (const SharedPart& part : parts) kept.push_back(StoredPart(part, weights));
   return kept;
 }
 
--- a/libs/gateway/src/polled_choice.cc
+++ b/libs/gateway/src/polled_choice.cc
@@ -38,16 +38,16 @@
   if (query.chain == nullptr) return question;
   question.model = query.model;
   question.weights = query.newest_weights.value_or(WeightsNumber());
-  if (query.chain->shared_tokens < kWorthFetching) return question;
+  if (query.chain->shared_tokens < kMinFetchTokens) return question;
   question.parts = query.chain->parts;
-  if (const KvCacheStore* store = StoreFor(plan)) {
+  if (const KvCacheStore* store = KvStoreForPrompt(plan)) {
     question.store = AskedStore{LinkOf(store->address), store->zone};
   }
   return question;
 }
 
 bool IsBusy(const BackendChoice& choice, bool plain_call) {
-  return plain_call ? choice.expected_ms > kBusyCallCost : choice.ahead_ms > kBusyAheadMs;
+  return plain_call ? choice.expected_ms > kBusyCallCost : choice.queue_ms > kBusyAheadMs;
 }
 
 /// One request's choice.
@@ -77,13 +77,13 @@
 
  private:
   bool SharesMuch() const {
-    return query_.chain != nullptr && query_.chain->shared_tokens >= kWorthFetching;
+    return query_.chain != nullptr && query_.chain->shared_tokens >= kMinFetchTokens;
   }
 
   /// The same for all gateways, whatever each knows of single engines.
   BackendPtr HomeOfPrompt() const {
     const auto engines = state_.directory().Usable(plan_.service, query_.now);
-    const auto homes = HomesOf(*query_.chain, CircleSegment(), engines, 1);
+    const auto homes = HomesOf(*query_.chain, RingSegment(), engines, 1);
     return homes.empty() ? nullptr : homes.front();
   }
 
@@ -105,7 +105,7 @@
   std::vector<BackendPtr> Further() const {
     std::vector<BackendPtr> further;
     const bool lacks =
-        SharesMuch() && choice_->known_tokens + kWorthFetching < query_.chain->shared_tokens;
+        SharesMuch() && choice_->known_tokens + kMinFetchTokens < query_.chain->shared_tokens;
     for (const BackendHash hash : answer_.holders) {
       const BackendPtr holder = state_.directory().FindByHash(hash);
       if (lacks && IsCandidate(holder) && !IsListed(holder)) further.push_back(holder);
@@ -113,7 +113,7 @@
     if (!IsBusy(*choice_, query_.chain == nullptr)) return further;
     std::vector<BackendPtr> listed = listed_;
     listed.insert(listed.end(), further.begin(), further.end());
-    const std::vector<BackendPtr> more = Widen(query_, candidates_, listed);
+    const std::vector<BackendPtr> more = ExtendShortlist(query_, candidates_, listed);
     further.insert(further.end(), more.begin(), more.end());
     return further;
   }
@@ -138,10 +138,10 @@
 
 }  // namespace
 
-net::awaitable<AskedChoice> AskAndChoose(GatewayState& state, const ExchangePlan& plan,
-                                         const InboundRequest& request,
-                                         const std::set<BackendId>& tried) {
-  AskedChoice result;
+net::awaitable<PolledChoice> PollAndChoose(GatewayState& state, const ExchangePlan& plan,
+                                           const InboundRequest& request,
+                                           const std::set<BackendId>& tried) {
+  PolledChoice result;
   const TimePoint began = Clock::now();
   std::vector<BackendPtr> candidates = CandidatesFor(state, plan, request, tried, began);
   if (candidates.empty()) co_return result;
--- a/libs/gateway/src/prefill_rate.cc
+++ b/libs/gateway/src/prefill_rate.cc
@@ -5,18 +5,18 @@
 
 namespace ridgehold {
 
-ReadingSpeed::ReadingSpeed(double prior)
+PrefillRateEstimator::PrefillRateEstimator(double prior)
     : prior_(prior), tokens_(kPriorTokens), milliseconds_(kPriorTokens / prior) {}
 
-void ReadingSpeed::Note(double tokens, Duration waited) {
-  if (!std::isfinite(tokens) || tokens < kLeastTokens) return;
-  const std::chrono::duration<double, std::milli> reading = waited - kBesideReading;
-  const double at_slowest = tokens / (prior_ * kSlowest);
-  const double at_fastest = tokens / (prior_ * kFastest);
-  tokens_ = kKept * tokens_ + tokens;
-  milliseconds_ = kKept * milliseconds_ + std::clamp(reading.count(), at_fastest, at_slowest);
+void PrefillRateEstimator::Record(double tokens, Duration waited) {
+  if (!std::isfinite(tokens) || tokens < kMinTokens) return;
+  const std::chrono::duration<double, std::milli> reading = waited - kFixedOverhead;
+  const double at_slowest = tokens / (prior_ * kMinRateFactor);
+  const double at_fastest = tokens / (prior_ * kMaxRateFactor);
+  tokens_ = kDecay * tokens_ + tokens;
+  milliseconds_ = kDecay * milliseconds_ + std::clamp(reading.count(), at_fastest, at_slowest);
 }
 
-double ReadingSpeed::tokens_per_ms() const { return tokens_ / milliseconds_; }
+double PrefillRateEstimator::tokens_per_ms() const { return tokens_ / milliseconds_; }
 
 }  // namespace ridgehold
--- a/libs/gateway/src/prefix_shares.cc
+++ b/libs/gateway/src/prefix_shares.cc
@@ -2,7 +2,7 @@
 
 namespace ridgehold {
 
-void PrefixShares::Note(std::uint64_t first, double tokens, TimePoint now) {
+void PrefixShares::Record(std::uint64_t first, double tokens, TimePoint now) {
   if (now - halved_ >= kHalfLife) {
     Halve();
     halved_ = now;
@@ -16,7 +16,7 @@
   return found == tokens_.end() ? 0 : found->second;
 }
 
-CircleSegment PrefixShares::SegmentOf(std::uint64_t first) const {
+RingSegment PrefixShares::SegmentOf(std::uint64_t first) const {
   if (total_ <= 0) return {};
   double before = 0;
   auto entry = tokens_.begin();
--- a/libs/gateway/src/request_log.cc
+++ b/libs/gateway/src/request_log.cc
@@ -106,8 +106,8 @@
     fields.push_back({"permit_ms", MillisecondsText(record.permit.took)});
     if (record.permit.ticket) fields.push_back({"permit_from", record.permit.ticket->holder});
   }
-  if (!record.asked_of_sender) return;
-  const AskedOfSender& asked = *record.asked_of_sender;
+  if (!record.backend_notice) return;
+  const NoticeRecord& asked = *record.backend_notice;
   if (asked.limit) fields.push_back({"limit", fmt::format("{:.3f}", asked.limit->per_second())});
   if (asked.leaving) fields.push_back({"leaving", "yes"});
   if (asked.rest_left > Duration::zero()) {
@@ -118,11 +118,11 @@
 
 }  // namespace
 
-std::optional<AskedOfSender> AskedOfSenderBy(const Backend& backend, TimePoint now) {
-  const BackendWord& word = backend.word;
+std::optional<NoticeRecord> NoticeRecordOf(const Backend& backend, TimePoint now) {
+  const BackendWord& word = backend.notice_state;
   const auto rest = std::chrono::duration_cast<Duration>(word.rest_until() - now);
-  const AskedOfSender asked{word.limit(), word.leaving(), std::max(Duration::zero(), rest),
-                            std::chrono::duration_cast<Duration>(now - word.heard_at())};
+  const NoticeRecord asked{word.limit(), word.leaving(), std::max(Duration::zero(), rest),
+                           std::chrono::duration_cast<Duration>(now - word.heard_at())};
   const bool nothing = !asked.limit && !asked.leaving && asked.rest_left == Duration::zero();
   return nothing ? std::nullopt : std::optional(asked);
 }
--- a/libs/gateway/src/routing_snapshot.cc
+++ b/libs/gateway/src/routing_snapshot.cc
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-Result<std::shared_ptr<const RoutingSnapshot>> RoutingSnapshot::Create(RoutingParts parts) {
+Result<std::shared_ptr<const RoutingSnapshot>> RoutingSnapshot::Create(RoutingConfig parts) {
   std::shared_ptr<RoutingSnapshot> snapshot(new RoutingSnapshot(std::move(parts)));
   BOOST_LEAF_CHECK(snapshot->Index());
   return std::shared_ptr<const RoutingSnapshot>(std::move(snapshot));
--- a/libs/gateway/src/sampled_shares.cc
+++ b/libs/gateway/src/sampled_shares.cc
@@ -2,7 +2,7 @@
 
 namespace ridgehold {
 
-void SampledShares::Note(std::uint64_t first, double tokens, double total, TimePoint now) {
+void SampledShares::Record(std::uint64_t first, double tokens, double total, TimePoint now) {
   if (total <= 0) return;
   if (now - halved_ >= kHalfLife) {
     Halve();
@@ -13,7 +13,7 @@
   sample.total += total;
 }
 
-CircleSegment SampledShares::SegmentOf(std::uint64_t first) const {
+RingSegment SampledShares::SegmentOf(std::uint64_t first) const {
   const auto own = samples_.find(first);
   if (own == samples_.end() || own->second.share() <= 0) return {};
   double before = 0;
--- a/libs/gateway/src/shortlist.cc
+++ b/libs/gateway/src/shortlist.cc
@@ -21,7 +21,7 @@
 constexpr std::uint64_t kWidenSalt = 0x77696465;
 
 /// Whether the segment has the point that a hash stands for.
-bool IsIn(const CircleSegment& segment, std::uint64_t hash) {
+bool IsIn(const RingSegment& segment, std::uint64_t hash) {
   constexpr double kHashes = 18'446'744'073'709'551'616.0;  // 2^64
   double from_begin = static_cast<double>(hash) / kHashes - segment.begin;
   if (from_begin < 0) from_begin += 1;
@@ -73,7 +73,7 @@
 /// What nothing known here speaks against; all, if something does everywhere.
 Backends Sound(const ShortlistQuery& query, std::span<const BackendPtr> candidates) {
   Backends sound = Those(candidates, [&](const Backend& backend) {
-    return backend.reachable && !backend.missing_until && !IsAvoided(backend, query.now) &&
+    return backend.reachable && !backend.grace_until && !IsAvoided(backend, query.now) &&
            backend.hold_until <= query.now;
   });
   if (sound.empty()) sound.assign(candidates.begin(), candidates.end());
@@ -90,7 +90,7 @@
 }
 
 bool SharesMuch(const ShortlistQuery& query) {
-  return query.chain != nullptr && query.chain->shared_tokens >= kWorthFetching;
+  return query.chain != nullptr && query.chain->shared_tokens >= kMinFetchTokens;
 }
 
 Backends ForSharedPrompt(const ShortlistQuery& query, std::span<const BackendPtr> sound,
@@ -106,7 +106,7 @@
   // While few have loaded them, the first of those is the next home.
   if (!most_loaded) Append(list, Without(HomesOf(*query.chain, query.segment, loaded, 1), list));
   const Backends others = Without(OfZone(query.own_zone, pool), list);
-  Append(list, Drawn(query.draw, others, sizes.drawn));
+  Append(list, Drawn(query.draw, others, sizes.random_picks));
   return list;
 }
 
@@ -114,23 +114,23 @@
                   const ShortlistSizes& sizes) {
   const std::uint64_t seed = Hash(query.gateway, kUsualSalt);
   const auto rank = [&](const Backend& backend) { return Hash(seed, HashOf(backend.entry.id)); };
-  const Backends usual = Best(OfZone(query.own_zone, sound), sizes.usual, rank);
-  Backends list = Drawn(query.draw, usual, sizes.asked_usual);
-  if (list.size() >= sizes.asked_usual) return list;
+  const Backends subset = Best(OfZone(query.own_zone, sound), sizes.subset_size, rank);
+  Backends list = Drawn(query.draw, subset, sizes.subset_sample);
+  if (list.size() >= sizes.subset_sample) return list;
   // The own zone has few: the same ones of other zones each time.
-  Append(list, Best(Without(sound, list), sizes.asked_usual - list.size(), rank));
+  Append(list, Best(Without(sound, list), sizes.subset_sample - list.size(), rank));
   return list;
 }
 
 }  // namespace
 
-std::vector<BackendPtr> HomesOf(const PromptChain& chain, const CircleSegment& segment,
+std::vector<BackendPtr> HomesOf(const PromptChain& chain, const RingSegment& segment,
                                 std::span<const BackendPtr> candidates, std::size_t count) {
   if (chain.parts.empty()) return {};
   const std::uint64_t subject = chain.parts.back().hash;
   // A rare beginning has one engine or two, and not now this, now that one.
   constexpr double kLeastEngines = 1.5;
-  CircleSegment wide = segment;
+  RingSegment wide = segment;
   wide.length = std::max(wide.length, kLeastEngines / static_cast<double>(candidates.size() + 1));
   return Best(candidates, count, [&](const Backend& backend) {
     const std::uint64_t hash = HashOf(backend.entry.id);
@@ -145,10 +145,12 @@
   return SharesMuch(query) ? ForSharedPrompt(query, sound, sizes) : ForUsual(query, sound, sizes);
 }
 
-std::vector<BackendPtr> Widen(const ShortlistQuery& query, std::span<const BackendPtr> candidates,
-                              std::span<const BackendPtr> listed, const ShortlistSizes& sizes) {
+std::vector<BackendPtr> ExtendShortlist(const ShortlistQuery& query,
+                                        std::span<const BackendPtr> candidates,
+                                        std::span<const BackendPtr> listed,
+                                        const ShortlistSizes& sizes) {
   const Backends others = Without(Sound(query, candidates), listed);
-  return Drawn(Hash(query.draw, kWidenSalt), others, sizes.widened);
+  return Drawn(Hash(query.draw, kWidenSalt), others, sizes.extension);
 }
 
 }  // namespace ridgehold
--- a/libs/gateway/src/transfer_links.cc
+++ b/libs/gateway/src/transfer_links.cc
@@ -15,19 +15,19 @@
 
 LinkHash LinkOf(std::string_view address) { return XXH3_64bits(address.data(), address.size()); }
 
-Duration TransferLinks::WaitAt(LinkHash link, TimePoint now) const {
+Duration TransferLinks::QueueDelay(LinkHash link, TimePoint now) const {
   const auto found = busy_until_.find(link);
   if (found == busy_until_.end() || found->second <= now) return Duration::zero();
   return std::chrono::duration_cast<Duration>(found->second - now);
 }
 
-void TransferLinks::Add(LinkHash link, Duration length, TimePoint now) {
+void TransferLinks::Reserve(LinkHash link, Duration length, TimePoint now) {
   if (length <= Duration::zero()) return;
   if (busy_until_.size() >= kMostLinks) {
     std::erase_if(busy_until_, [&](const auto& entry) { return entry.second <= now; });
   }
   TimePoint& busy_until = busy_until_[link];
-  const TimePoint limit = now + kLongestWait + length;
+  const TimePoint limit = now + kMaxWait + length;
   busy_until = std::min(std::max(busy_until, now) + length, limit);
 }
 
--- a/libs/gateway/src/waiting_attempts.cc
+++ b/libs/gateway/src/waiting_attempts.cc
@@ -29,7 +29,7 @@
 }
 
 std::optional<TimePoint> WaitingAttempts::BoundOf(const WeightsAsked& asked) const {
-  const auto outdated = named_.OutdatedSince(asked.model, asked.weights);
+  const auto outdated = named_.SupersededSince(asked.model, asked.weights);
   return outdated ? std::optional(*outdated + limit_) : std::nullopt;
 }
 
--- a/libs/gateway/src/weights_history.cc
+++ b/libs/gateway/src/weights_history.cc
@@ -4,9 +4,10 @@
 
 namespace ridgehold {
 
-bool NamedWeights::Take(const ModelId& model, WeightsNumber number, TimePoint at, bool assumed) {
-  std::vector<Naming>& namings = namings_[model];
-  const auto place = std::ranges::lower_bound(namings, number, {}, &Naming::number);
+bool WeightsHistory::Record(const ModelId& model, WeightsNumber number, TimePoint at,
+                            bool assumed) {
+  std::vector<Announcement>& namings = namings_[model];
+  const auto place = std::ranges::lower_bound(namings, number, {}, &Announcement::number);
   const bool newest = place == namings.end();
   if (!newest && place->number == number) {
     const bool better = place->assumed ? !assumed || at < place->at : !assumed && at < place->at;
@@ -16,36 +17,36 @@
     return false;
   }
   namings.insert(place, {number, at, assumed});
-  if (namings.size() > kMostRemembered) namings.erase(namings.begin());
+  if (namings.size() > kMaxEntries) namings.erase(namings.begin());
   Changed();
   return newest;
 }
 
-std::optional<WeightsNumber> NamedWeights::Newest(const ModelId& model) const {
+std::optional<WeightsNumber> WeightsHistory::Newest(const ModelId& model) const {
   const auto found = namings_.find(model);
   if (found == namings_.end() || found->second.empty()) return std::nullopt;
   return found->second.back().number;
 }
 
-std::optional<TimePoint> NamedWeights::NewestSince(const ModelId& model) const {
+std::optional<TimePoint> WeightsHistory::NewestAnnouncedAt(const ModelId& model) const {
   const auto found = namings_.find(model);
   if (found == namings_.end() || found->second.empty()) return std::nullopt;
   return found->second.back().at;
 }
 
-std::optional<NamedWeights::Naming> NamedWeights::OutdatedBy(const ModelId& model,
-                                                             WeightsNumber number) const {
+std::optional<WeightsHistory::Announcement> WeightsHistory::SupersededBy(
+    const ModelId& model, WeightsNumber number) const {
   const auto found = namings_.find(model);
   if (found == namings_.end()) return std::nullopt;
   // A later number proves that the weights are outdated at its moment too.
-  const auto newer = std::ranges::upper_bound(found->second, number, {}, &Naming::number);
-  const auto earliest = std::ranges::min_element(newer, found->second.end(), {}, &Naming::at);
+  const auto newer = std::ranges::upper_bound(found->second, number, {}, &Announcement::number);
+  const auto earliest = std::ranges::min_element(newer, found->second.end(), {}, &Announcement::at);
   return earliest == found->second.end() ? std::nullopt : std::optional(*earliest);
 }
 
-std::optional<TimePoint> NamedWeights::OutdatedSince(const ModelId& model,
-                                                     WeightsNumber number) const {
-  const auto naming = OutdatedBy(model, number);
+std::optional<TimePoint> WeightsHistory::SupersededSince(const ModelId& model,
+                                                         WeightsNumber number) const {
+  const auto naming = SupersededBy(model, number);
   return naming ? std::optional(naming->at) : std::nullopt;
 }
 
--- a/libs/gateway/test/backend_directory-test.cc
+++ b/libs/gateway/test/backend_directory-test.cc
@@ -145,11 +145,11 @@
   const BackendPtr known = directory.Find(BackendId("b"));
   BackendEntry late = Started("b", 5);
   late.draining = true;
-  BOOST_TEST((directory.Put(late) == Registration::kOutdated));
+  BOOST_TEST((directory.Put(late) == Registration::kStale));
   BOOST_TEST(directory.Find(BackendId("b")) == known);
   BOOST_TEST(!known->entry.draining);
   directory.Remove(BackendId("b"), Duration::zero(), kStart);
-  BOOST_TEST((directory.Put(late) == Registration::kOutdated));
+  BOOST_TEST((directory.Put(late) == Registration::kStale));
   BOOST_TEST(directory.Usable(kService, kStart).empty());
   BOOST_TEST((directory.Put(Started("b", 6)) == Registration::kAdded));
 }
@@ -188,11 +188,11 @@
   BackendDirectory directory;
   directory.Put(Entry("b"));
   Backend& backend = *directory.Find(BackendId("b"));
-  BackendDirectory::NoteFailure(backend, kStart);
-  BOOST_TEST((backend.avoid_until == kStart + BackendDirectory::kFirstBackoff));
-  for (int i = 0; i < 10; ++i) BackendDirectory::NoteFailure(backend, kStart);
-  BOOST_TEST((backend.avoid_until == kStart + BackendDirectory::kLongestBackoff));
-  BackendDirectory::NoteSuccess(backend);
+  BackendDirectory::RecordFailure(backend, kStart);
+  BOOST_TEST((backend.avoid_until == kStart + BackendDirectory::kInitialBackoff));
+  for (int i = 0; i < 10; ++i) BackendDirectory::RecordFailure(backend, kStart);
+  BOOST_TEST((backend.avoid_until == kStart + BackendDirectory::kMaxBackoff));
+  BackendDirectory::RecordSuccess(backend);
   BOOST_TEST(backend.failures == 0);
 }
 
--- a/libs/gateway/test/backend_word-test.cc
+++ b/libs/gateway/test/backend_word-test.cc
@@ -149,7 +149,7 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(rest_that_two_others_were_asked_for_is_not_told, WordsOfOne) {
-  BackendNews news = backend->word.News(HashOf(*backend));
+  BackendNews news = backend->notice_state.News(HashOf(*backend));
   news.rest_left = 60s;
   for (const std::uint64_t other : {1, 2}) words.Take({{news}}, other, kStart);
   BOOST_TEST(IsAvoided(*backend, kStart));
@@ -176,8 +176,8 @@
   BackendNotice leaving;
   leaving.leaving = true;
   const BackendPtr backend = directory.Find(BackendId("x"));
-  BOOST_TEST(backend->word.TakeNotice(leaving, kStart, kStart));
-  backend->word.TakeNotice({}, kStart + 1s, kStart + 1s);
+  BOOST_TEST(backend->notice_state.TakeNotice(leaving, kStart, kStart));
+  backend->notice_state.TakeNotice({}, kStart + 1s, kStart + 1s);
   BOOST_TEST(directory.Usable(ServiceId("s"), kStart).empty());
   // Its entry lapses and comes back, as after an outage of the store.
   directory.Remove(BackendId("x"), Duration::zero(), kStart);
--- a/libs/gateway/test/exchange_plan-test.cc
+++ b/libs/gateway/test/exchange_plan-test.cc
@@ -25,8 +25,8 @@
   return rule;
 }
 
-RoutingParts Parts(const std::vector<std::string>& stores) {
-  RoutingParts parts;
+RoutingConfig Parts(const std::vector<std::string>& stores) {
+  RoutingConfig parts;
   parts.version = ConfigVersion(1);
   ServiceRule engines;
   engines.id = kEngines;
@@ -130,7 +130,7 @@
 BOOST_AUTO_TEST_CASE(what_is_fetched_takes_the_place_of_other_parts) {
   Configure({"s"});
   Prompt(1, 2);
-  PlacedNews saved;
+  PlacementUpdate saved;
   saved.parts = Plan().chain->parts;
   saved.weights = WeightsNumber(1);
   saved.saved_to = LinkOf("s:1");
--- a/libs/gateway/test/placement-test.cc
+++ b/libs/gateway/test/placement-test.cc
@@ -103,11 +103,11 @@
   backends[1]->entry.address = "y:1";
   Bring(backends[1], 1s);
   backends[1]->unprefilled_tokens = 60'000;
-  links.Add(LinkOf("store"), 100ms, kNow);
+  links.Reserve(LinkOf("store"), 100ms, kNow);
   Placement chosen = ChooseBackend(query, backends, weights);
   BOOST_REQUIRE(chosen.source.has_value());
   BOOST_TEST(chosen.source->engine.has_value());
-  links.Add(LinkOf("y:1"), 400ms, kNow);
+  links.Reserve(LinkOf("y:1"), 400ms, kNow);
   chosen = ChooseBackend(query, backends, weights);
   BOOST_REQUIRE(chosen.source.has_value());
   BOOST_TEST(!chosen.source->engine.has_value());
@@ -117,7 +117,7 @@
   TransferLinks links;
   query.links = &links;
   query.store = KvStoreView{ZoneId("a"), LinkOf("store"), 0.0073, nullptr};
-  links.Add(LinkOf("store"), 1s, kNow);
+  links.Reserve(LinkOf("store"), 1s, kNow);
   const Placement chosen = ChooseBackend(query, backends, weights);
   BOOST_TEST(!chosen.source.has_value());
   BOOST_TEST(chosen.lacks_parts);
@@ -127,9 +127,9 @@
 BOOST_AUTO_TEST_CASE(store_has_what_was_kept_under_the_same_weights) {
   EngineCache kept;
   query.store = KvStoreView{ZoneId("a"), LinkOf("store"), 0.0073, &kept};
-  kept.Use(KeptParts(chain.parts, WeightsNumber(2)), 0, 100'000, kNow - 1s);
+  kept.Use(StoredParts(chain.parts, WeightsNumber(2)), 0, 100'000, kNow - 1s);
   BOOST_TEST(!ChooseBackend(query, backends, weights).source.has_value());
-  kept.Use(KeptParts(chain.parts, WeightsNumber(1)), 0, 100'000, kNow - 1s);
+  kept.Use(StoredParts(chain.parts, WeightsNumber(1)), 0, 100'000, kNow - 1s);
   BOOST_TEST(ChooseBackend(query, backends, weights).source.has_value());
 }
 
@@ -164,7 +164,7 @@
 BOOST_AUTO_TEST_CASE(doubted_backend_servers_are_chosen_last) {
   Bring(backends[1], 1s);
   for (const std::uint64_t other : {1, 2})
-    backends[1]->word.NoteRestOfOther(other, kNow + 1s, kNow);
+    backends[1]->notice_state.NoteRestOfOther(other, kNow + 1s, kNow);
   BOOST_TEST(ChooseBackend(query, backends, weights).index != 1);
   const std::vector<BackendPtr> alone = {backends[1]};
   BOOST_TEST(ChooseBackend(query, alone, weights).index == 0);
--- a/libs/gateway/test/polled_choice-test.cc
+++ b/libs/gateway/test/polled_choice-test.cc
@@ -25,8 +25,8 @@
 constexpr std::uint32_t kOwn = 2'900;
 constexpr double kObjectiveMs = 600;
 
-RoutingParts Parts() {
-  RoutingParts parts;
+RoutingConfig Parts() {
+  RoutingConfig parts;
   parts.version = ConfigVersion(1);
   ServiceRule engines;
   engines.id = kService;
@@ -134,8 +134,8 @@
         GenerationRequest{kModel, kShared + kOwn, 3, {{subject, kShared}, {0, kOwn}}};
     const ExchangePlan plan = *PlanExchange(state, request, Clock::now());
     std::optional<BackendChoice> choice;
-    net::co_spawn(io, AskAndChoose(state, plan, request, tried),
-                  [&](const std::exception_ptr& /*error*/, AskedChoice asked) {
+    net::co_spawn(io, PollAndChoose(state, plan, request, tried),
+                  [&](const std::exception_ptr& /*error*/, PolledChoice asked) {
                     choice = std::move(asked.choice);
                   });
     io.restart();
@@ -206,8 +206,8 @@
   request.received = Clock::now();
   const ExchangePlan plan = *PlanExchange(state, request, Clock::now());
   bool chosen = true;
-  net::co_spawn(io, AskAndChoose(state, plan, request, tried),
-                [&](const std::exception_ptr& /*error*/, const AskedChoice& asked) {
+  net::co_spawn(io, PollAndChoose(state, plan, request, tried),
+                [&](const std::exception_ptr& /*error*/, const PolledChoice& asked) {
                   chosen = asked.choice.has_value();
                 });
   io.run();
--- a/libs/gateway/test/prefix_shares-test.cc
+++ b/libs/gateway/test/prefix_shares-test.cc
@@ -15,16 +15,16 @@
 BOOST_AUTO_TEST_SUITE(prefix_shares)
 
 BOOST_AUTO_TEST_CASE(everything_is_one_segment_before_anything_is_known) {
-  const CircleSegment segment = PrefixShares().SegmentOf(7);
+  const RingSegment segment = PrefixShares().SegmentOf(7);
   BOOST_TEST(segment.begin == 0);
   BOOST_TEST(segment.length == 1);
 }
 
 BOOST_AUTO_TEST_CASE(segments_are_as_long_as_their_share_and_lie_side_by_side) {
   PrefixShares shares;
-  shares.Note(30, 1'000, kStart);
-  shares.Note(10, 3'000, kStart);
-  shares.Note(20, 6'000, kStart);
+  shares.Record(30, 1'000, kStart);
+  shares.Record(10, 3'000, kStart);
+  shares.Record(20, 6'000, kStart);
   BOOST_TEST(shares.SegmentOf(10).begin == 0);
   BOOST_TEST(shares.SegmentOf(10).length == 0.3);
   BOOST_TEST(shares.SegmentOf(20).begin == 0.3);
@@ -35,8 +35,8 @@
 
 BOOST_AUTO_TEST_CASE(beginnings_that_are_asked_for_no_more_are_forgotten) {
   PrefixShares shares;
-  shares.Note(10, 8'000, kStart);
-  for (int i = 1; i <= 8; ++i) shares.Note(20, 8'000, kStart + i * PrefixShares::kHalfLife);
+  shares.Record(10, 8'000, kStart);
+  for (int i = 1; i <= 8; ++i) shares.Record(20, 8'000, kStart + i * PrefixShares::kHalfLife);
   BOOST_TEST(shares.SegmentOf(10).length == 0);
   BOOST_TEST(shares.SegmentOf(20).length == 1);
 }
@@ -47,10 +47,10 @@
   const auto count = *rc::gen::inRange(1, 60);
   for (int i = 0; i < count; ++i) {
     now += std::chrono::milliseconds(*rc::gen::inRange(0, 4'000));
-    shares.Note(*rc::gen::inRange(0, 12), *rc::gen::inRange(0, 20'000), now);
+    shares.Record(*rc::gen::inRange(0, 12), *rc::gen::inRange(0, 20'000), now);
   }
   for (std::uint64_t first = 0; first < 13; ++first) {
-    const CircleSegment segment = shares.SegmentOf(first);
+    const RingSegment segment = shares.SegmentOf(first);
     RC_ASSERT(segment.begin >= 0);
     RC_ASSERT(segment.length >= 0);
     RC_ASSERT(segment.begin + segment.length <= 1 + 1e-9);
--- a/libs/gateway/test/routing_snapshot-test.cc
+++ b/libs/gateway/test/routing_snapshot-test.cc
@@ -16,8 +16,8 @@
   return route;
 }
 
-RoutingParts Parts(std::vector<RouteRule> routes) {
-  RoutingParts parts;
+RoutingConfig Parts(std::vector<RouteRule> routes) {
+  RoutingConfig parts;
   parts.routes = std::move(routes);
   ServiceRule service;
   service.id = ServiceId("s");
@@ -48,7 +48,7 @@
 BOOST_AUTO_TEST_CASE(unknown_service_and_doubled_route_are_refused) {
   RouteRule lost = Route("a", "/a/");
   lost.targets = {{ServiceId("none"), 1}};
-  const auto code_of = [](RoutingParts parts) {
+  const auto code_of = [](RoutingConfig parts) {
     return FailureOf([&] { return RoutingSnapshot::Create(std::move(parts)); })->code;
   };
   BOOST_TEST((code_of(Parts({lost})) == ResultCode::kInvalidCommand));
@@ -72,7 +72,7 @@
 
 BOOST_AUTO_TEST_CASE(kept_parts_are_spread_over_all_stores_and_move_only_with_their_store) {
   const auto with_stores = [](int count) {
-    RoutingParts parts = Parts({});
+    RoutingConfig parts = Parts({});
     for (int i = 0; i < count; ++i) {
       ServiceRule store;
       store.id = ServiceId("store-" + std::to_string(i));
--- a/libs/gateway/test/sampled_shares-test.cc
+++ b/libs/gateway/test/sampled_shares-test.cc
@@ -23,8 +23,8 @@
 
 BOOST_AUTO_TEST_CASE(segments_lie_side_by_side) {
   SampledShares shares;
-  shares.Note(1, 100'000, 400'000, kStart);
-  shares.Note(2, 300'000, 400'000, kStart);
+  shares.Record(1, 100'000, 400'000, kStart);
+  shares.Record(2, 300'000, 400'000, kStart);
   BOOST_TEST(shares.SegmentOf(1).begin == 0);
   BOOST_TEST(shares.SegmentOf(1).length == 0.25);
   BOOST_TEST(shares.SegmentOf(2).begin == 0.25);
@@ -33,9 +33,9 @@
 
 BOOST_AUTO_TEST_CASE(old_samples_fade) {
   SampledShares shares;
-  shares.Note(1, 400'000, 400'000, kStart);
+  shares.Record(1, 400'000, 400'000, kStart);
   for (int i = 1; i <= 20; ++i) {
-    shares.Note(2, 400'000, 400'000, kStart + i * SampledShares::kHalfLife);
+    shares.Record(2, 400'000, 400'000, kStart + i * SampledShares::kHalfLife);
   }
   BOOST_TEST(shares.SegmentOf(2).length == 1);
 }
@@ -46,14 +46,14 @@
   std::minstd_rand random(3);
   std::vector<PrefixShares> gateways(295);
   for (PrefixShares& gateway : gateways) {
-    for (int request = 0; request < 35; ++request) gateway.Note(1 + random() % 4, 9'000, kStart);
+    for (int request = 0; request < 35; ++request) gateway.Record(1 + random() % 4, 9'000, kStart);
   }
   const auto learn = [&] {
     SampledShares shares;
     for (int answer = 0; answer < 200; ++answer) {
       const PrefixShares& told = gateways[random() % gateways.size()];
       const std::uint64_t first = 1 + random() % 4;
-      shares.Note(first, told.TokensOf(first), told.total(), kStart);
+      shares.Record(first, told.TokensOf(first), told.total(), kStart);
     }
     return shares;
   };
--- a/libs/gateway/test/shortlist-test.cc
+++ b/libs/gateway/test/shortlist-test.cc
@@ -57,7 +57,7 @@
 
 BOOST_AUTO_TEST_CASE(long_prompt_asks_its_homes_and_drawn_ones_of_the_own_zone) {
   const auto first = Shortlist(query, engines);
-  BOOST_TEST(first.size() == sizes.homes + sizes.drawn);
+  BOOST_TEST(first.size() == sizes.homes + sizes.random_picks);
   query.draw = 9;
   const auto second = Shortlist(query, engines);
   BOOST_TEST((first[0] == second[0]));
@@ -133,17 +133,17 @@
   std::set<std::string> used;
   for (query.draw = 0; query.draw < 200; ++query.draw) {
     const auto list = Shortlist(query, engines);
-    BOOST_TEST(list.size() == sizes.asked_usual);
+    BOOST_TEST(list.size() == sizes.subset_sample);
     for (const BackendPtr& engine : list) {
       BOOST_TEST((engine->entry.zone == query.own_zone));
       used.insert(engine->entry.id.value());
     }
   }
-  BOOST_TEST(used.size() == sizes.usual);
+  BOOST_TEST(used.size() == sizes.subset_size);
   query.gateway = 12;
   BOOST_TEST((Ids(Shortlist(query, engines)) != used));
   query.chain = nullptr;
-  BOOST_TEST(Shortlist(query, engines).size() == sizes.asked_usual);
+  BOOST_TEST(Shortlist(query, engines).size() == sizes.subset_sample);
 }
 
 BOOST_AUTO_TEST_CASE(zone_with_few_engines_asks_others_too) {
@@ -152,7 +152,7 @@
     return engine->entry.zone == query.own_zone && engine->entry.id != BackendId("e0");
   });
   const auto list = Shortlist(query, engines);
-  BOOST_TEST(list.size() == sizes.asked_usual);
+  BOOST_TEST(list.size() == sizes.subset_sample);
   BOOST_TEST(Ids(list).contains("e0"));
 }
 
@@ -161,7 +161,8 @@
   home->avoid_until = kNow + 1s;
   BOOST_TEST(!Ids(Shortlist(query, engines)).contains(home->entry.id.value()));
   const BackendPtr next = Shortlist(query, engines)[0];
-  for (const std::uint64_t other : {1, 2}) next->word.NoteRestOfOther(other, kNow + 1s, kNow);
+  for (const std::uint64_t other : {1, 2})
+    next->notice_state.NoteRestOfOther(other, kNow + 1s, kNow);
   BOOST_TEST(!Ids(Shortlist(query, engines)).contains(next->entry.id.value()));
   for (const BackendPtr& engine : engines) engine->reachable = false;
   BOOST_TEST(!Shortlist(query, engines).empty());
@@ -171,8 +172,8 @@
   const auto list = Shortlist(query, engines);
   std::set<std::string> zones;
   for (query.draw = 0; query.draw < 50; ++query.draw) {
-    const auto more = Widen(query, engines, list);
-    BOOST_TEST(more.size() == sizes.widened);
+    const auto more = ExtendShortlist(query, engines, list);
+    BOOST_TEST(more.size() == sizes.extension);
     for (const BackendPtr& engine : more) {
       BOOST_TEST((std::ranges::find(list, engine) == list.end()));
       zones.insert(engine->entry.zone.value());
@@ -193,7 +194,7 @@
   const auto list = Shortlist(query, engines);
   RC_ASSERT(!list.empty());
   RC_ASSERT(Ids(list).size() == list.size());
-  const auto more = Widen(query, engines, list);
+  const auto more = ExtendShortlist(query, engines, list);
   RC_ASSERT(std::ranges::none_of(more, [&](const BackendPtr& engine) {
     return std::ranges::find(list, engine) != list.end();
   }));
--- a/libs/gateway/test/transfer_links-test.cc
+++ b/libs/gateway/test/transfer_links-test.cc
@@ -17,26 +17,26 @@
 
 BOOST_AUTO_TEST_CASE(transfers_wait_for_those_before_them) {
   TransferLinks links;
-  BOOST_TEST((links.WaitAt(kLink, kNow) == 0ms));
-  links.Add(kLink, 46ms, kNow);
-  links.Add(kLink, 92ms, kNow + 10ms);
-  BOOST_TEST((links.WaitAt(kLink, kNow + 10ms) == 128ms));
-  BOOST_TEST((links.WaitAt(kLink, kNow + 200ms) == 0ms));
+  BOOST_TEST((links.QueueDelay(kLink, kNow) == 0ms));
+  links.Reserve(kLink, 46ms, kNow);
+  links.Reserve(kLink, 92ms, kNow + 10ms);
+  BOOST_TEST((links.QueueDelay(kLink, kNow + 10ms) == 128ms));
+  BOOST_TEST((links.QueueDelay(kLink, kNow + 200ms) == 0ms));
 }
 
 BOOST_AUTO_TEST_CASE(links_do_not_wait_for_each_other) {
   TransferLinks links;
-  links.Add(kLink, 1s, kNow);
-  BOOST_TEST((links.WaitAt(kLink + 1, kNow) == 0ms));
+  links.Reserve(kLink, 1s, kNow);
+  BOOST_TEST((links.QueueDelay(kLink + 1, kNow) == 0ms));
 }
 
 RC_BOOST_PROP(nonsense_keeps_no_link_busy_for_ever, ()) {
   TransferLinks links;
   const auto lengths = *rc::gen::container<std::vector<std::int64_t>>(
       rc::gen::inRange<std::int64_t>(-5'000'000, 5'000'000));
-  for (const std::int64_t length : lengths) links.Add(kLink, Duration(length), kNow);
-  RC_ASSERT(links.WaitAt(kLink, kNow) >= 0ms);
-  RC_ASSERT(links.WaitAt(kLink, kNow) <= TransferLinks::kLongestWait + 5s);
+  for (const std::int64_t length : lengths) links.Reserve(kLink, Duration(length), kNow);
+  RC_ASSERT(links.QueueDelay(kLink, kNow) >= 0ms);
+  RC_ASSERT(links.QueueDelay(kLink, kNow) <= TransferLinks::kMaxWait + 5s);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/peers/include/peers/load_messages.h
+++ b/libs/peers/include/peers/load_messages.h
@@ -39,11 +39,11 @@
   std::optional<StoreReport> store;
   std::vector<BackendHash> holders;
   BeginningSample sample;
-  std::vector<NamingNews> namings;
+  std::vector<AnnouncementUpdate> namings;
 };
 
 /// A datagram between gateways.
-using PeerMessage = std::variant<GatewayNews, LoadQuestionMessage, LoadAnswerMessage, PoisonNews,
+using PeerMessage = std::variant<GossipMessage, LoadQuestionMessage, LoadAnswerMessage, PoisonNews,
                                  BackendNewsList, QuotaMessage>;
 
 std::string Encode(const LoadQuestionMessage& question);
--- a/libs/peers/include/peers/news_codec.h
+++ b/libs/peers/include/peers/news_codec.h
@@ -10,9 +10,9 @@
 
 namespace ridgehold {
 
-std::string EncodeNews(const GatewayNews& news);
+std::string EncodeNews(const GossipMessage& news);
 
 /// Fails with kMalformedPeerMessage.
-Result<GatewayNews> DecodeNews(std::string_view bytes);
+Result<GossipMessage> DecodeNews(std::string_view bytes);
 
 }  // namespace ridgehold
--- a/libs/peers/include/peers/peer_link.h
+++ b/libs/peers/include/peers/peer_link.h
@@ -98,9 +98,9 @@
   void SendToTrackers(TimePoint now);
   /// When the next message goes out if nothing more happens.
   TimePoint NextSend() const;
-  GatewayNews MakeNews();
-  GatewayNews MakeHead();
-  std::vector<LoadNews> OwnLoads() const;
+  GossipMessage MakeNews();
+  GossipMessage MakeHead();
+  std::vector<LoadUpdate> OwnLoads() const;
   void SendTo(const net::ip::address& address, const std::string& datagram);
   void Take(std::size_t bytes, const net::ip::udp::endpoint& sender);
   void TakeMessage(const PeerMessage& message, const net::ip::udp::endpoint& sender, TimePoint now);
@@ -136,7 +136,7 @@
   TimePoint stale_until_{};  ///< messages until then may have lain here through a standstill
   TimePoint last_sent_{};
   TimePoint last_namings_{};
-  std::vector<LoadNews> told_loads_;  ///< of the last message to all
+  std::vector<LoadUpdate> told_loads_;  ///< of the last message to all
   bool stopped_ = false;
   std::array<char, kMaxDatagramBytes> buffer_;
 };
--- a/libs/peers/include/peers/peer_loads.h
+++ b/libs/peers/include/peers/peer_loads.h
@@ -22,13 +22,13 @@
   explicit PeerLoads(GatewayState& state) : state_(state) {}
 
   /// Takes a message; false when it is older than one taken before.
-  bool Take(const GatewayNews& news, TimePoint now);
+  bool Take(const GossipMessage& news, TimePoint now);
 
   /// Drops gateways that have fallen silent.
   void Expire(TimePoint now);
 
   /// What `gateway` does at a backend server, as it told last.
-  LoadNews LoadOf(const DaemonId& gateway, BackendHash backend) const;
+  LoadUpdate LoadOf(const DaemonId& gateway, BackendHash backend) const;
 
   /// Gateways heard lately.
   std::size_t size() const { return peers_.size(); }
@@ -37,13 +37,13 @@
   struct Peer {
     std::uint64_t incarnation = 0;
     std::uint64_t sequence = 0;
-    std::vector<LoadNews> loads;
+    std::vector<LoadUpdate> loads;
     TimePoint heard{};
   };
 
-  void Add(const std::vector<LoadNews>& loads);
-  void Subtract(const std::vector<LoadNews>& loads);
-  void TakeItems(const NewsItems& items, TimePoint now);
+  void Add(const std::vector<LoadUpdate>& loads);
+  void Subtract(const std::vector<LoadUpdate>& loads);
+  void TakeItems(const GossipItems& items, TimePoint now);
 
   GatewayState& state_;
   std::map<DaemonId, Peer> peers_;
--- a/libs/peers/include/peers/recent_namings.h
+++ b/libs/peers/include/peers/recent_namings.h
@@ -11,9 +11,10 @@
 
 /// The last namings of each model, without those whose moment is a guess: it
 /// would take the place of what others know.
-std::vector<NamingNews> RecentNamings(const NamedWeights& named, TimePoint now);
+std::vector<AnnouncementUpdate> RecentNamings(const WeightsHistory& named, TimePoint now);
 
 /// Takes what another gateway tells.
-void TakeNamings(NamedWeights& named, const std::vector<NamingNews>& namings, TimePoint now);
+void TakeNamings(WeightsHistory& named, const std::vector<AnnouncementUpdate>& namings,
+                 TimePoint now);
 
 }  // namespace ridgehold
--- a/libs/peers/include/peers/tracked_news.h
+++ b/libs/peers/include/peers/tracked_news.h
@@ -16,8 +16,8 @@
 /// News for one gateway: all of this gateway's load at what that one tracks.
 struct NewsForTracker {
   TrackerMap::Gateway tracker;
-  std::vector<LoadNews> loads;
-  NewsItems items;
+  std::vector<LoadUpdate> loads;
+  GossipItems items;
 };
 
 /// Divides the news among the trackers and remembers what each was told. Not
@@ -32,13 +32,14 @@
       : state_(state), own_address_(std::move(own_address)) {}
 
   /// Returns what is to be sent now. `items` are taken out of the state's news.
-  std::vector<NewsForTracker> Collect(const std::vector<LoadNews>& loads, const NewsItems& items,
-                                      const TrackerMap& trackers, TimePoint now);
+  std::vector<NewsForTracker> Collect(const std::vector<LoadUpdate>& loads,
+                                      const GossipItems& items, const TrackerMap& trackers,
+                                      TimePoint now);
 
  private:
   /// What a tracker was told last.
   struct Told {
-    std::vector<LoadNews> loads;
+    std::vector<LoadUpdate> loads;
     TimePoint at{};
   };
   using ByTracker = std::map<std::string, NewsForTracker>;
@@ -52,7 +53,7 @@
                      ByTracker& news) const;
   Receivers ForAll(const std::vector<const TrackerMap::Gateway*>& trackers, ByTracker& news) const;
   NewsForTracker* ForGateway(const TrackerMap::Gateway& tracker, ByTracker& news) const;
-  void AddPlaced(const PlacedNews& placed, const TrackerMap& trackers, TimePoint now,
+  void AddPlaced(const PlacementUpdate& placed, const TrackerMap& trackers, TimePoint now,
                  ByTracker& news) const;
 
   GatewayState& state_;
--- a/libs/peers/src/load_asker.cc
+++ b/libs/peers/src/load_asker.cc
@@ -43,7 +43,7 @@
       part.message.parts = question.parts;
       part.message.model = question.model;
       part.message.weights = question.weights;
-      part.message.wants_namings = state_.named_weights().guesses();
+      part.message.wants_namings = state_.named_weights().has_assumed_times();
     }
     return &part.message;
   };
@@ -75,9 +75,9 @@
     if (!backend) continue;
     BackendReport report = state_.ReportOn(*backend, asked, now);
     const bool own = question.daemon == options_.self;
-    const LoadNews asker =
+    const LoadUpdate asker =
         own ? state_.OwnLoadAt(*backend, now) : loads_.LoadOf(question.daemon, hash);
-    PeerWork& work = report.work;
+    PeerLoad& work = report.work;
     work.running -= std::min(work.running, asker.running);
     work.unread_tokens -= std::min(work.unread_tokens, asker.unread_tokens);
     work.unrepeatable -= std::min(work.unrepeatable, asker.unrepeatable);
--- a/libs/peers/src/news_codec.cc
+++ b/libs/peers/src/news_codec.cc
@@ -10,8 +10,8 @@
 namespace ridgehold {
 namespace {
 
-void EncodeItems(const NewsItems& items, wire::GatewayNews& message) {
-  for (const PlacedNews& placed : items.placed) {
+void EncodeItems(const GossipItems& items, wire::GatewayNews& message) {
+  for (const PlacementUpdate& placed : items.placed) {
     wire::GatewayPlaced& entry = *message.add_placed();
     entry.set_backend(placed.backend);
     entry.set_new_tokens(placed.new_tokens);
@@ -26,13 +26,13 @@
       entry.add_part_tokens(part.tokens);
     }
   }
-  for (const HoldNews& hold : items.holds) {
+  for (const HoldUpdate& hold : items.holds) {
     wire::GatewayHold& entry = *message.add_holds();
     entry.set_backend(hold.backend);
     entry.set_for_ms(static_cast<std::uint32_t>(hold.length.count()));
   }
   for (const BackendHash backend : items.unreachable) message.add_unreachable(backend);
-  for (const WeightsNews& weights : items.weights) {
+  for (const WeightsUpdate& weights : items.weights) {
     wire::GatewayWeights& entry = *message.add_weights();
     entry.set_backend(weights.backend);
     entry.set_model(weights.model.value());
@@ -40,10 +40,10 @@
   }
 }
 
-NewsItems DecodeItems(const wire::GatewayNews& message) {
-  NewsItems items;
+GossipItems DecodeItems(const wire::GatewayNews& message) {
+  GossipItems items;
   for (const wire::GatewayPlaced& entry : message.placed()) {
-    PlacedNews placed;
+    PlacementUpdate placed;
     placed.backend = entry.backend();
     placed.new_tokens = entry.new_tokens();
     placed.own_tokens = entry.own_tokens();
@@ -67,8 +67,8 @@
   return items;
 }
 
-void EncodeNamings(const std::vector<NamingNews>& namings, wire::GatewayNews& message) {
-  for (const NamingNews& naming : namings) {
+void EncodeNamings(const std::vector<AnnouncementUpdate>& namings, wire::GatewayNews& message) {
+  for (const AnnouncementUpdate& naming : namings) {
     wire::GatewayNaming& entry = *message.add_namings();
     entry.set_model(naming.model.value());
     entry.set_number(naming.number.value());
@@ -76,8 +76,8 @@
   }
 }
 
-std::vector<NamingNews> DecodeNamings(const wire::GatewayNews& message) {
-  std::vector<NamingNews> namings;
+std::vector<AnnouncementUpdate> DecodeNamings(const wire::GatewayNews& message) {
+  std::vector<AnnouncementUpdate> namings;
   for (const wire::GatewayNaming& entry : message.namings()) {
     namings.push_back({ModelId(entry.model()), WeightsNumber(entry.number()),
                        std::chrono::milliseconds(entry.age_ms())});
@@ -116,8 +116,8 @@
   return report;
 }
 
-GatewayNews DecodeNewsOf(const wire::GatewayNews& message) {
-  GatewayNews news;
+GossipMessage DecodeNewsOf(const wire::GatewayNews& message) {
+  GossipMessage news;
   news.daemon = DaemonId(message.daemon());
   news.incarnation = message.incarnation();
   news.sequence = message.sequence();
@@ -187,12 +187,12 @@
 
 }  // namespace
 
-std::string EncodeNews(const GatewayNews& news) {
+std::string EncodeNews(const GossipMessage& news) {
   wire::GatewayNews message;
   message.set_daemon(news.daemon.value());
   message.set_incarnation(news.incarnation);
   message.set_sequence(news.sequence);
-  for (const LoadNews& load : news.loads) {
+  for (const LoadUpdate& load : news.loads) {
     wire::GatewayLoad& entry = *message.add_loads();
     entry.set_backend(load.backend);
     entry.set_running(load.running);
@@ -281,9 +281,9 @@
   return PeerMessage(DecodeNewsOf(message));
 }
 
-Result<GatewayNews> DecodeNews(std::string_view bytes) {
+Result<GossipMessage> DecodeNews(std::string_view bytes) {
   BOOST_LEAF_AUTO(message, DecodePeerMessage(bytes));
-  if (auto* news = std::get_if<GatewayNews>(&message)) return std::move(*news);
+  if (auto* news = std::get_if<GossipMessage>(&message)) return std::move(*news);
   return Fail(ResultCode::kMalformedPeerMessage, "a question or an answer, not news");
 }
 
--- a/libs/peers/src/peer_link.cc
+++ b/libs/peers/src/peer_link.cc
@@ -142,7 +142,7 @@
 
 void PeerLink::SendNews(TimePoint now) {
   looked_ = now;
-  GatewayNews news = MakeNews();
+  GossipMessage news = MakeNews();
   const bool due = now - last_sent_ >= options_.heartbeat;
   if (news.items.empty() && news.loads == told_loads_ && !due) return;
   last_sent_ = now;
@@ -154,9 +154,9 @@
 void PeerLink::SendToTrackers(TimePoint now) {
   looked_ = now;
   changed_ = false;
-  const NewsItems items = state_.TakeNews(kMostPlaced);
+  const GossipItems items = state_.TakeNews(kMostPlaced);
   for (NewsForTracker& to : tracked_news_.Collect(OwnLoads(), items, trackers_, now)) {
-    GatewayNews news = MakeHead();
+    GossipMessage news = MakeHead();
     news.loads = std::move(to.loads);
     news.items = std::move(to.items);
     SendTo(to.tracker.ip, EncodeNews(news));
@@ -165,8 +165,8 @@
   changed_ = changed_ || !state_.news().placed.empty();
 }
 
-std::vector<LoadNews> PeerLink::OwnLoads() const {
-  std::vector<LoadNews> loads;
+std::vector<LoadUpdate> PeerLink::OwnLoads() const {
+  std::vector<LoadUpdate> loads;
   const TimePoint now = Clock::now();
   for (const auto& [id, backend] : state_.directory().all()) {
     if (backend->in_flight > 0) loads.push_back(state_.OwnLoadAt(*backend, now));
@@ -174,16 +174,16 @@
   return loads;
 }
 
-GatewayNews PeerLink::MakeHead() {
-  GatewayNews news;
+GossipMessage PeerLink::MakeHead() {
+  GossipMessage news;
   news.daemon = options_.self;
   news.incarnation = incarnation_;
   news.sequence = ++sequence_;
   return news;
 }
 
-GatewayNews PeerLink::MakeNews() {
-  GatewayNews news = MakeHead();
+GossipMessage PeerLink::MakeNews() {
+  GossipMessage news = MakeHead();
   news.loads = OwnLoads();
   news.items = state_.TakeNews(kMostPlaced);
   const TimePoint now = Clock::now();
@@ -254,7 +254,7 @@
     SendTo(sender.address(), Encode(asker_.Answer(*question, now)));
   } else if (const auto* answer = std::get_if<LoadAnswerMessage>(&message)) {
     asker_.Take(*answer, sender.address().to_string());
-  } else if (const auto& news = std::get<GatewayNews>(message); news.daemon != options_.self) {
+  } else if (const auto& news = std::get<GossipMessage>(message); news.daemon != options_.self) {
     loads_.Take(news, now);
     TakeNamings(state_.named_weights(), news.namings, now);
   }
--- a/libs/peers/src/peer_loads.cc
+++ b/libs/peers/src/peer_loads.cc
@@ -4,7 +4,7 @@
 
 namespace ridgehold {
 
-bool PeerLoads::Take(const GatewayNews& news, TimePoint now) {
+bool PeerLoads::Take(const GossipMessage& news, TimePoint now) {
   Peer& peer = peers_[news.daemon];
   const bool known = peer.incarnation == news.incarnation;
   if (known && news.sequence <= peer.sequence) return false;
@@ -23,11 +23,11 @@
   });
 }
 
-void PeerLoads::Add(const std::vector<LoadNews>& loads) {
-  for (const LoadNews& load : loads) {
+void PeerLoads::Add(const std::vector<LoadUpdate>& loads) {
+  for (const LoadUpdate& load : loads) {
     const BackendPtr backend = state_.directory().FindByHash(load.backend);
     if (!backend) continue;
-    PeerWork& work = backend->heard;
+    PeerLoad& work = backend->direct_peers;
     work.running += load.running;
     work.unread_tokens += load.unread_tokens;
     work.unrepeatable += load.unrepeatable;
@@ -36,12 +36,12 @@
   }
 }
 
-void PeerLoads::Subtract(const std::vector<LoadNews>& loads) {
-  for (const LoadNews& load : loads) {
+void PeerLoads::Subtract(const std::vector<LoadUpdate>& loads) {
+  for (const LoadUpdate& load : loads) {
     const BackendPtr backend = state_.directory().FindByHash(load.backend);
     if (!backend) continue;
     // A backend server may have been added between; nothing goes below zero.
-    PeerWork& work = backend->heard;
+    PeerLoad& work = backend->direct_peers;
     work.running -= std::min(work.running, load.running);
     work.unread_tokens -= std::min(work.unread_tokens, load.unread_tokens);
     work.unrepeatable -= std::min(work.unrepeatable, load.unrepeatable);
@@ -50,26 +50,26 @@
   }
 }
 
-LoadNews PeerLoads::LoadOf(const DaemonId& gateway, BackendHash backend) const {
+LoadUpdate PeerLoads::LoadOf(const DaemonId& gateway, BackendHash backend) const {
   const auto peer = peers_.find(gateway);
   if (peer == peers_.end()) return {};
-  const auto load = std::ranges::find(peer->second.loads, backend, &LoadNews::backend);
-  return load == peer->second.loads.end() ? LoadNews() : *load;
+  const auto load = std::ranges::find(peer->second.loads, backend, &LoadUpdate::backend);
+  return load == peer->second.loads.end() ? LoadUpdate() : *load;
 }
 
-void PeerLoads::TakeItems(const NewsItems& items, TimePoint now) {
-  for (const PlacedNews& placed : items.placed) state_.TakePlaced(placed, now);
-  for (const HoldNews& hold : items.holds) {
+void PeerLoads::TakeItems(const GossipItems& items, TimePoint now) {
+  for (const PlacementUpdate& placed : items.placed) state_.TakePlaced(placed, now);
+  for (const HoldUpdate& hold : items.holds) {
     if (const BackendPtr backend = state_.directory().FindByHash(hold.backend)) {
       backend->hold_until = now + hold.length;
     }
   }
   for (const BackendHash backend_hash : items.unreachable) {
     if (const BackendPtr backend = state_.directory().FindByHash(backend_hash)) {
-      backend->doubted = true;
+      backend->needs_probe = true;
     }
   }
-  for (const WeightsNews& weights : items.weights) {
+  for (const WeightsUpdate& weights : items.weights) {
     if (const BackendPtr backend = state_.directory().FindByHash(weights.backend)) {
       BackendDirectory::NoteWeights(*backend, weights.model, weights.number);
     }
--- a/libs/peers/src/recent_namings.cc
+++ b/libs/peers/src/recent_namings.cc
@@ -11,8 +11,8 @@
 
 }  // namespace
 
-std::vector<NamingNews> RecentNamings(const NamedWeights& named, TimePoint now) {
-  std::vector<NamingNews> recent;
+std::vector<AnnouncementUpdate> RecentNamings(const WeightsHistory& named, TimePoint now) {
+  std::vector<AnnouncementUpdate> recent;
   for (const auto& [model, namings] : named.all()) {
     const std::size_t skipped = namings.size() - std::min(namings.size(), kMostNamings);
     for (std::size_t i = skipped; i < namings.size(); ++i) {
@@ -24,9 +24,10 @@
   return recent;
 }
 
-void TakeNamings(NamedWeights& named, const std::vector<NamingNews>& namings, TimePoint now) {
-  for (const NamingNews& naming : namings) {
-    named.Take(naming.model, naming.number, now - naming.age);
+void TakeNamings(WeightsHistory& named, const std::vector<AnnouncementUpdate>& namings,
+                 TimePoint now) {
+  for (const AnnouncementUpdate& naming : namings) {
+    named.Record(naming.model, naming.number, now - naming.age);
   }
 }
 
--- a/libs/peers/src/tracked_news.cc
+++ b/libs/peers/src/tracked_news.cc
@@ -6,18 +6,18 @@
 
 namespace ridgehold {
 
-std::vector<NewsForTracker> TrackedNews::Collect(const std::vector<LoadNews>& loads,
-                                                 const NewsItems& items, const TrackerMap& trackers,
-                                                 TimePoint now) {
+std::vector<NewsForTracker> TrackedNews::Collect(const std::vector<LoadUpdate>& loads,
+                                                 const GossipItems& items,
+                                                 const TrackerMap& trackers, TimePoint now) {
   ByTracker news;
-  for (const LoadNews& load : loads) {
+  for (const LoadUpdate& load : loads) {
     for (auto* to : For(load.backend, trackers, now, news)) to->loads.push_back(load);
   }
-  for (const PlacedNews& placed : items.placed) AddPlaced(placed, trackers, now, news);
-  for (const HoldNews& hold : items.holds) {
+  for (const PlacementUpdate& placed : items.placed) AddPlaced(placed, trackers, now, news);
+  for (const HoldUpdate& hold : items.holds) {
     for (auto* to : For(hold.backend, trackers, now, news)) to->items.holds.push_back(hold);
   }
-  for (const WeightsNews& weights : items.weights) {
+  for (const WeightsUpdate& weights : items.weights) {
     for (auto* to : For(weights.backend, trackers, now, news)) to->items.weights.push_back(weights);
   }
   for (const BackendHash backend : items.unreachable) {
@@ -70,8 +70,8 @@
   return &to;
 }
 
-void TrackedNews::AddPlaced(const PlacedNews& placed, const TrackerMap& trackers, TimePoint now,
-                            ByTracker& news) const {
+void TrackedNews::AddPlaced(const PlacementUpdate& placed, const TrackerMap& trackers,
+                            TimePoint now, ByTracker& news) const {
   // One gateway may track the engine, the home, and what is fetched from.
   std::set<NewsForTracker*> told;
   const auto add = [&](const Receivers& receivers) {
--- a/libs/peers/test/peers-test.cc
+++ b/libs/peers/test/peers-test.cc
@@ -29,9 +29,9 @@
 
   Backend& backend() { return *state.directory().Find(BackendId("b")); }
 
-  static GatewayNews News(const std::string& daemon, std::uint64_t sequence,
-                          std::uint32_t running) {
-    GatewayNews news;
+  static GossipMessage News(const std::string& daemon, std::uint64_t sequence,
+                            std::uint32_t running) {
+    GossipMessage news;
     news.daemon = DaemonId(daemon);
     news.incarnation = 1;
     news.sequence = sequence;
@@ -65,7 +65,7 @@
 
 BOOST_AUTO_TEST_CASE(restarted_peer_begins_anew) {
   loads.Take(News("d1", 50, 3), kStart);
-  GatewayNews news = News("d1", 1, 2);
+  GossipMessage news = News("d1", 1, 2);
   news.incarnation = 2;
   BOOST_TEST(loads.Take(news, kStart));
   BOOST_TEST(backend().peers.running == 2);
@@ -92,7 +92,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(news_of_unknown_backend_servers_is_passed_over) {
-  GatewayNews news = News("d1", 1, 3);
+  GossipMessage news = News("d1", 1, 3);
   news.loads[0].backend = 77;
   news.items.holds = {{77, 1s}};
   news.items.placed = {{77, 10, 4, {{1, 3}, {2, 3}}}};
@@ -101,7 +101,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(holds_parts_and_weights_are_taken) {
-  GatewayNews news = News("d1", 1, 0);
+  GossipMessage news = News("d1", 1, 0);
   const BackendHash hash = HashOf(BackendId("b"));
   news.items.holds = {{hash, 2s}};
   news.items.weights = {{hash, kModel, WeightsNumber(3)}};
@@ -117,7 +117,7 @@
 }
 
 RC_BOOST_PROP(message_survives_its_encoding, ()) {
-  GatewayNews news;
+  GossipMessage news;
   news.daemon = DaemonId("d" + *rc::gen::arbitrary<std::string>());
   news.incarnation = *rc::gen::arbitrary<std::uint64_t>();
   news.sequence = *rc::gen::arbitrary<std::uint64_t>();
--- a/model/fleet_model.cc
+++ b/model/fleet_model.cc
@@ -58,7 +58,7 @@
 }
 
 void FleetModel::Configure() {
-  RoutingParts parts;
+  RoutingConfig parts;
   parts.version = ConfigVersion(1);
   parts.services.push_back(EnginesOf(pattern_));
   if (pattern_.has_store) {
@@ -156,7 +156,7 @@
   auto plan = PlanExchange(state_, open.request, now_);
   if (!plan) return;
   open.plan = std::move(*plan);
-  state_.prompt_sizes().Note(open.plan.service, open.plan.chain->prompt_tokens);
+  state_.prompt_sizes().Record(open.plan.service, open.plan.chain->prompt_tokens);
   line_.push_back(number);
   open_.emplace(number, std::move(open));
 }
@@ -185,12 +185,13 @@
 /// As BackendSearch does.
 std::optional<BackendChoice> FleetModel::Choose(Open& open) {
   for (;;) {
-    open.plan.spares_limited = pattern_.spare_limited && SparesLimited(state_, open.plan, now_);
+    open.plan.avoid_rate_limited =
+        pattern_.spare_limited && AvoidsRateLimited(state_, open.plan, now_);
     auto choice = ChooseFor(state_, open.plan, open.request, {}, now_);
     const auto may_send = [&] {
       return choice && admission_.MaySend(AdmissionQueryFor(open.plan, *choice, now_));
     };
-    if (std::exchange(open.plan.spares_limited, false) && !choice) {
+    if (std::exchange(open.plan.avoid_rate_limited, false) && !choice) {
       choice = ChooseFor(state_, open.plan, open.request, {}, now_);
     }
     if (choice) open.late = !Admission::InTime(AdmissionQueryFor(open.plan, *choice, now_));
@@ -204,7 +205,7 @@
   if (!choice) return false;
   open.backend = choice->backend;
   open.tokens_to_read = choice->tokens_to_read;
-  open.tokens_ahead = choice->tokens_ahead;
+  open.queued_tokens = choice->queued_tokens;
   open.sent = now_;
   ModelRequest request;
   request.number = number;
@@ -214,12 +215,12 @@
   request.parts_there = now_;
   if (request.fetches) {
     const LinkHash link = LinkOf(*choice->fetch_from);
-    request.parts_there += links_.WaitAt(link, now_) + choice->fetch_length;
-    links_.Add(link, choice->fetch_length, now_);
+    request.parts_there += links_.QueueDelay(link, now_) + choice->fetch_length;
+    links_.Reserve(link, choice->fetch_length, now_);
   }
   ++open.backend->in_flight;
   open.backend->unprefilled_tokens += open.tokens_to_read;
-  state_.TakePlaced(PlacedNewsOf(open.plan, open.request, *choice), now_);
+  state_.TakePlaced(PlacementUpdateOf(open.plan, open.request, *choice), now_);
   engines_.at(open.backend->entry.id).Send(std::move(request), now_);
   return true;
 }
@@ -236,8 +237,8 @@
       if (begun.at - open.request.received <= demand.objective) ++outcome.in_time;
       --open.backend->in_flight;
       open.backend->unprefilled_tokens -= open.tokens_to_read;
-      state_.reading_speed(kEngines).Note(open.tokens_ahead + open.tokens_to_read,
-                                          waited + ReadingSpeed::kBesideReading);
+      state_.reading_speed(kEngines).Record(open.queued_tokens + open.tokens_to_read,
+                                            waited + PrefillRateEstimator::kFixedOverhead);
       open_.erase(begun.number);
     }
   }
--- a/model/fleet_model.h
+++ b/model/fleet_model.h
@@ -82,7 +82,7 @@
     bool late = false;
     BackendPtr backend;  ///< once it was sent
     double tokens_to_read = 0;
-    double tokens_ahead = 0;
+    double queued_tokens = 0;
     TimePoint sent{};
   };
 
--- a/model/limit_ways.cc
+++ b/model/limit_ways.cc
@@ -158,7 +158,7 @@
 
   void Arrive(std::size_t i) {
     Instance& instance = *instances_[i];
-    const BackendWord& word = instance.backend.word;
+    const BackendWord& word = instance.backend.notice_state;
     if (Cut(ZoneOf(i), 0) || word.Bars(now())) return;
     if (!word.limit()) return Send(i);
     const bool known = counting_.has_value();
@@ -206,7 +206,7 @@
       const Instance& instance = *instances_[i];
       const bool told = instance.told && *instance.told + kToldBefore <= now();
       const auto limit = Named();
-      arrivals_.push_back({now(), told, instance.backend.word.limit().has_value(),
+      arrivals_.push_back({now(), told, instance.backend.notice_state.limit().has_value(),
                            limit ? limit->per_second() : 0});
       const BackendNotice notice{limit, false, false, std::nullopt};
       At(now() + milliseconds(20) + Exponential(50), [this, i, sent, life, notice] {
@@ -219,7 +219,7 @@
     Instance& instance = *instances_[i];
     if (notice.limit && !instance.told) instance.told = now();
     if (notice.limit && !first_named_) first_named_ = now();
-    if (!instance.backend.word.TakeNotice(notice, sent, now())) return;
+    if (!instance.backend.notice_state.TakeNotice(notice, sent, now())) return;
     NoteKnown(i);
     const int life = instance.restarts;
     for (const milliseconds telling : kTellings) {
@@ -230,7 +230,7 @@
   }
 
   void Tell(std::size_t i) {
-    const BackendNews news = instances_[i]->backend.word.News(kBackendHash);
+    const BackendNews news = instances_[i]->backend.notice_state.News(kBackendHash);
     for (std::size_t to = 0; to < instances_.size(); ++to) {
       if (to != i) TellOne(i, to, news);
     }
@@ -239,8 +239,8 @@
   void TellOne(std::size_t from, std::size_t to, const BackendNews& news) {
     Carry(from, to, [this, from, to, news] {
       Instance& instance = *instances_[to];
-      const BackendNews better = instance.backend.word.News(kBackendHash);
-      const bool behind = instance.backend.word.TakeNews(news, now());
+      const BackendNews better = instance.backend.notice_state.News(kBackendHash);
+      const bool behind = instance.backend.notice_state.TakeNews(news, now());
       NoteKnown(to);
       // As those do that track the backend server.
       if (behind && to < 2 * kZoneCount) TellOne(to, from, better);
@@ -248,14 +248,14 @@
   }
 
   void NoteKnown(std::size_t i) {
-    const bool knows = instances_[i]->backend.word.limit().has_value();
+    const bool knows = instances_[i]->backend.notice_state.limit().has_value();
     if (knows && !counting_ && !share_wanted_ && play_.trouble != LimitTrouble::kStoreAway) {
       share_wanted_ = true;
       At(now() + kTakingShare, [this] { TakeShare(0); });
     }
     if (all_know_at_ || !knows) return;
     const bool all = std::ranges::all_of(
-        instances_, [](const auto& one) { return one->backend.word.limit().has_value(); });
+        instances_, [](const auto& one) { return one->backend.notice_state.limit().has_value(); });
     if (all) all_know_at_ = now();
   }
 
--- a/test/backend_prober-test.cc
+++ b/test/backend_prober-test.cc
@@ -14,8 +14,8 @@
 
 const ServiceId kEngines("engines");
 
-RoutingParts Parts() {
-  RoutingParts parts;
+RoutingConfig Parts() {
+  RoutingConfig parts;
   parts.version = ConfigVersion(1);
   ServiceRule engines;
   engines.id = kEngines;
@@ -78,14 +78,14 @@
 // The pattern: a backend server out of reach for a while, under steady traffic.
 BOOST_AUTO_TEST_CASE(server_out_of_reach_is_left_alone_until_a_probe_reaches_it) {
   acceptor->close();
-  BackendDirectory::NoteFailure(backend(), Clock::now());
+  BackendDirectory::RecordFailure(backend(), Clock::now());
   BOOST_TEST(Within(2s, [&] { return !backend().reachable; }));
   BOOST_TEST(state.news().unreachable.size() == 1U);
   io.run_for(100ms);
   BOOST_TEST(!backend().reachable);
   Listen();
   BOOST_TEST(Within(2s, [&] { return backend().reachable; }));
-  BOOST_TEST(!backend().doubted);
+  BOOST_TEST(!backend().needs_probe);
   BOOST_TEST(backend().failures == 0U);
   BOOST_TEST((backend().avoid_until <= Clock::now()));
 }
@@ -99,16 +99,16 @@
 }
 
 BOOST_AUTO_TEST_CASE(failure_of_a_server_that_is_there_keeps_its_backoff) {
-  BackendDirectory::NoteFailure(backend(), Clock::now() + 1h);
-  BOOST_TEST(Within(2s, [&] { return !backend().doubted; }));
+  BackendDirectory::RecordFailure(backend(), Clock::now() + 1h);
+  BOOST_TEST(Within(2s, [&] { return !backend().needs_probe; }));
   BOOST_TEST(backend().reachable);
   BOOST_TEST((backend().avoid_until > Clock::now() + 30min));
 }
 
 BOOST_AUTO_TEST_CASE(peers_word_alone_shuts_nobody_out) {
-  backend().doubted = true;
+  backend().needs_probe = true;
   BOOST_TEST(backend().reachable);
-  BOOST_TEST(Within(2s, [&] { return !backend().doubted; }));
+  BOOST_TEST(Within(2s, [&] { return !backend().needs_probe; }));
   BOOST_TEST(backend().reachable);
   BOOST_TEST(state.news().unreachable.empty());
 }
--- a/test/peer_link-test.cc
+++ b/test/peer_link-test.cc
@@ -132,7 +132,7 @@
   tracker->state.NoteLoadChange();
   other->state.NoteLoadChange();
   io.run_for(30ms);
-  BOOST_TEST(tracker->backend().heard.running == 1U);
+  BOOST_TEST(tracker->backend().direct_peers.running == 1U);
   const LoadAnswer answer = Ask(*other, 8);
   const BackendReport* report = answer.Find(other->backend());
   BOOST_REQUIRE(report != nullptr);
@@ -153,7 +153,7 @@
   other->backend().in_flight = 0;
   other->state.NoteLoadChange();
   io.run_for(30ms);
-  BOOST_TEST(tracker->backend().heard.running == 0U);
+  BOOST_TEST(tracker->backend().direct_peers.running == 0U);
   BOOST_TEST((tracker->backend().hold_until > Clock::now() + 1s));
   tracker->backend().weights[ModelId("m")] = WeightsNumber(4);
   const LoadAnswer answer = Ask(*other, 7);
