--- a/libs/entry/include/entry/entry_instance.h
+++ b/libs/entry/include/entry/entry_instance.h
@@ -170,8 +170,8 @@
     return limits;
   }
 
-  static PlacementWeights WeightsOf(const EntryTuning& tuning) {
-    PlacementWeights weights = tuning.placement;
+  static PlacementCosts WeightsOf(const EntryTuning& tuning) {
+    PlacementCosts weights = tuning.placement;
     weights.older_weights_free = std::chrono::milliseconds(tuning.older_weights_free_ms);
     return weights;
   }
--- a/libs/entry/include/entry/entry_tuning.h
+++ b/libs/entry/include/entry/entry_tuning.h
@@ -14,7 +14,7 @@
 
 /// Settings of an entry instance's own, as the product's settings file has them.
 struct EntryTuning {
-  PlacementWeights placement;
+  PlacementCosts placement;
   /// Waiting this many latency objectives for an answer's head is enough.
   double call_patience = 3;
   double stream_patience = 8;
--- a/libs/entry/include/entry/tuning_options.h
+++ b/libs/entry/include/entry/tuning_options.h
@@ -36,7 +36,7 @@
  private:
   explicit TuningOptions(CLI::App& app) : app_(app) {}
 
-  void AddPlacement(PlacementWeights& placement);
+  void AddPlacement(PlacementCosts& placement);
   void AddLimits(EntryTuning& tuning);
   void AddRollout(EntryTuning& tuning);
 
--- a/libs/entry/src/tuning_options.cc
+++ b/libs/entry/src/tuning_options.cc
@@ -46,7 +46,7 @@
   app_.get_option("--" + name)->check(CLI::Range(0.0, 1.0));
 }
 
-void TuningOptions::AddPlacement(PlacementWeights& placement) {
+void TuningOptions::AddPlacement(PlacementCosts& placement) {
   Add("placement.prefill-tokens-per-ms", placement.prefill_tokens_per_ms, "Speed of an engine");
   Add("placement.per-running-request", placement.per_running_request,
       "ms that a running request adds to the wait");
--- a/libs/entry/test/state_dump-test.cc
+++ b/libs/entry/test/state_dump-test.cc
@@ -13,7 +13,7 @@
 BOOST_AUTO_TEST_CASE(settings_in_force_and_backend_servers_are_shown) {
   net::io_context io;
   Metrics metrics;
-  GatewayState state(io.get_executor(), ZoneId("a"), GatewayLimits{}, PlacementWeights{}, metrics);
+  GatewayState state(io.get_executor(), ZoneId("a"), GatewayLimits{}, PlacementCosts{}, metrics);
   BackendEntry entry;
   entry.id = BackendId("b");
   entry.started = StartStamp(17);
--- a/libs/gateway/include/gateway/backend_directory.h
+++ b/libs/gateway/include/gateway/backend_directory.h
@@ -117,7 +117,7 @@
   /// Called for each incarnation that is found to be gone and has not announced that
   /// it leaves.
   void SetTerminationListener(std::function<void(const Backend&)> listener) {
-    on_end_ = std::move(listener);
+    on_termination_ = std::move(listener);
   }
 
   /// An entry is gone. With `grace` above zero the backend server is used on
@@ -154,21 +154,21 @@
   static void RecordErrorResponse(Backend& backend);
   /// News of the weights it runs.
   /// Newer weights empty its cache.
-  static void NoteWeights(Backend& backend, const ModelId& model, WeightsNumber weights);
+  static void RecordWeights(Backend& backend, const ModelId& model, WeightsNumber weights);
 
  private:
   /// Restarts remembered for entries that come late; more are forgotten with
   /// their backend servers. So are words.
-  static constexpr std::size_t kMostStarts = 20'000;
+  static constexpr std::size_t kMaxRememberedStarts = 20'000;
 
-  Registration Judge(const BackendEntry& entry) const;
-  /// Puts what Judge has not found outdated, without regard to others.
+  Registration Classify(const BackendEntry& entry) const;
+  /// Puts what Classify has not found outdated, without regard to others.
   void Store(const BackendEntry& entry, Registration registration);
-  void NoteStart(const BackendEntry& entry);
+  void RecordStart(const BackendEntry& entry);
   void Drop(const BackendId& id);
-  void KeepWord(const Backend& backend);
-  void TakeKeptWord(Backend& backend);
-  void TellEnd(const Backend& backend) const;
+  void SaveNotice(const Backend& backend);
+  void RestoreNotice(Backend& backend);
+  void NotifyTermination(const Backend& backend) const;
   /// Ends those at the address of `newcomer`, if that is not known yet.
   void Supersede(const BackendEntry& newcomer);
 
@@ -177,8 +177,8 @@
   std::unordered_map<BackendId, StartStamp> starts_;  ///< the latest known
   /// Of backend servers that are gone: a registration that lapses and comes back is of
   /// the same process, and what that has said holds on.
-  std::unordered_map<BackendHash, BackendWord> words_;
-  std::function<void(const Backend&)> on_end_;
+  std::unordered_map<BackendHash, BackendWord> saved_notices_;
+  std::function<void(const Backend&)> on_termination_;
   std::set<ServiceId> services_;  ///< empty: not known yet
 };
 
--- a/libs/gateway/include/gateway/backend_load.h
+++ b/libs/gateway/include/gateway/backend_load.h
@@ -29,14 +29,14 @@
   void OnFirstEvent(TimePoint now);
 
  private:
-  void EndReading();
+  void EndPrefill();
 
   GatewayState& state_;
   BackendPtr backend_;
-  double tokens_ahead_ = 0;
+  double queued_tokens_ = 0;
   bool fetches_ = false;
-  double unread_tokens_ = 0;
-  std::optional<std::multiset<TimePoint>::iterator> waiting_;
+  double unprefilled_tokens_ = 0;
+  std::optional<std::multiset<TimePoint>::iterator> waiting_entry_;
   bool unrepeatable_ = false;
 };
 
--- a/libs/gateway/include/gateway/backend_search.h
+++ b/libs/gateway/include/gateway/backend_search.h
@@ -36,31 +36,31 @@
 
   /// When the first of those that were not tried takes a request, by its own word; nothing
   /// if there is none.
-  std::optional<TimePoint> NextRoom() const;
+  std::optional<TimePoint> NextCapacity() const;
 
   /// When a caller that is refused should come back.
   std::chrono::milliseconds RetryAfter() const;
 
  private:
   /// How a look for a backend server has ended.
-  enum class Look : std::uint8_t {
+  enum class Outcome : std::uint8_t {
     kFound,
     kWait,  ///< for room that there will be
     kNone,
   };
 
   /// In one look. Each costs a round trip to whoever counts.
-  static constexpr int kMostPermitsRefused = 4;
+  static constexpr int kMaxPermitRefusals = 4;
 
   /// Chooses one that takes the request now, and gets the permit that it may need.
-  net::awaitable<Look> LookOnce(std::optional<BackendChoice>& choice);
-  net::awaitable<Look> WaitForTurn(std::optional<BackendChoice>& choice);
-  net::awaitable<std::optional<BackendChoice>> ChooseSparing();
+  net::awaitable<Outcome> TryOnce(std::optional<BackendChoice>& choice);
+  net::awaitable<Outcome> WaitForCapacity(std::optional<BackendChoice>& choice);
+  net::awaitable<std::optional<BackendChoice>> ChooseAvoidingRateLimited();
   net::awaitable<std::optional<BackendChoice>> Choose();
-  bool MayLook(DeferredRequests::Ticket& ticket, const std::optional<BackendChoice>& choice) const;
+  bool MayRetry(DeferredRequests::Ticket& ticket, const std::optional<BackendChoice>& choice) const;
   bool MaySend(const BackendChoice& choice) const;
-  bool RoomSoon() const;
-  Admission RuleOfAdmission() const { return Admission{state_.limits().admission}; }
+  bool HasCapacitySoon() const;
+  Admission AdmissionRule() const { return Admission{state_.limits().admission}; }
 
   GatewayState& state_;
   Request request_;
--- a/libs/gateway/include/gateway/engine_cache.h
+++ b/libs/gateway/include/gateway/engine_cache.h
@@ -26,11 +26,11 @@
 class EngineCache {
  public:
   /// Bounds what is remembered of an engine whose memory is not known.
-  static constexpr std::size_t kMostEntries = 4'000;
+  static constexpr std::size_t kMaxEntries = 4'000;
 
-  struct Holding {
+  struct PrefixMatch {
     std::uint32_t tokens = 0;      ///< from the beginning on, without a gap
-    std::uint32_t readable = 0;    ///< of those, what has been read by now
+    std::uint32_t prefilled = 0;   ///< of those, what has been read by now
     std::uint64_t used_since = 0;  ///< tokens used after the oldest of these parts
   };
 
@@ -41,7 +41,7 @@
 
   /// Which of `parts` are there. Parts count as read `prefill_delay` after they
   /// were first brought.
-  Holding Find(std::span<const SharedPart> parts, Duration prefill_delay, TimePoint now) const;
+  PrefixMatch Find(std::span<const SharedPart> parts, Duration prefill_delay, TimePoint now) const;
 
   /// The engine has lost everything.
   void Clear();
--- a/libs/gateway/include/gateway/exchange.h
+++ b/libs/gateway/include/gateway/exchange.h
@@ -105,7 +105,7 @@
     const TimePoint began = Clock::now();
     record_.quota_tokens = plan_.quota->tokens;
     record_.quota = co_await state_.AcquireQuota(*plan_.quota);
-    record_.quota_took = std::chrono::duration_cast<Duration>(Clock::now() - began);
+    record_.quota_latency = std::chrono::duration_cast<Duration>(Clock::now() - began);
     co_return QuotaRefusalCode(record_.quota->verdict);
   }
 
@@ -192,7 +192,7 @@
   /// No backend server takes the request now.
   NextStep StepWithoutChoice() {
     const bool nothing_known = last_code_ == ResultCode::kNoBackend;
-    if (nothing_known && search_.NextRoom()) last_code_ = ResultCode::kBackendsAtLimit;
+    if (nothing_known && search_.NextCapacity()) last_code_ = ResultCode::kBackendsAtLimit;
     return StepWithoutRetry(facts_);
   }
 
@@ -200,14 +200,14 @@
     const Backend& backend = *choice.backend;
     record_.backend = backend.entry.id;
     record_.expected_ms = choice.expected_ms;
-    record_.wait_ms = choice.wait_ms;
+    record_.first_event_ms = choice.first_event_ms;
     record_.tokens_to_read = choice.tokens_to_read;
     if (plan_.chain && !plan_.chain->parts.empty()) {
       record_.shared_parts = plan_.chain->parts.back().hash;
       record_.shared_tokens = plan_.chain->shared_tokens;
       record_.known_tokens = choice.known_tokens;
     }
-    record_.running_there = backend.in_flight + backend.peers.running;
+    record_.running_at_backend = backend.in_flight + backend.peers.running;
     record_.fetched_from = choice.fetch_from.value_or("");
     const TimePoint now = Clock::now();
     record_.older_weights = OlderWeightsAt(state_, inbound_, choice.weights, now);
@@ -422,7 +422,7 @@
     if (step == NextStep::kTryAgain && Quarantined()) step = StepOfQuarantined();
     const bool arrived = end != AttemptEnd::kNotSent && end != AttemptEnd::kSkipped;
     if (step == NextStep::kTryAgain && arrived && !state_.retries().Spend(plan_.service, now)) {
-      record_.out_of_retries = true;
+      record_.retry_budget_exhausted = true;
       step = StepWithoutRetry(facts_);
     }
     if (step != NextStep::kDone && step != NextStep::kDeliver) {
--- a/libs/gateway/include/gateway/exchange_plan.h
+++ b/libs/gateway/include/gateway/exchange_plan.h
@@ -45,14 +45,14 @@
   std::uint32_t tokens_to_store = 0;  ///< those, and what is fetched: what its cache takes in
   double expected_ms = 0;             ///< cost that decided, see Placement
   double queue_ms = 0;                ///< of that, until what is before it has been read
-  double wait_ms = 0;                 ///< of that, until the prompt is read
+  double first_event_ms = 0;          ///< of that, until the prompt is read
   std::optional<WeightsNumber> weights;
   std::optional<std::string> fetch_from;  ///< address that has shared parts
   BackendPtr fetch_backend;               ///< the engine there; null: a store
   BackendPtr home;                        ///< of the prompt, in a large fleet; else null
-  Duration fetch_length{0};               ///< that the link to it is busy
+  Duration fetch_duration{0};             ///< that the link to it is busy
   std::optional<std::string> save_to;     ///< address of a store that is to keep them
-  Duration save_length{0};                ///< that its link is busy
+  Duration save_duration{0};              ///< that its link is busy
 };
 
 /// Checks route, key and freshness. Fails with the code to answer.
--- a/libs/gateway/include/gateway/gateway_gossip.h
+++ b/libs/gateway/include/gateway/gateway_gossip.h
@@ -39,19 +39,19 @@
   std::uint32_t new_tokens = 0;  ///< that its cache takes in
   std::uint32_t own_tokens = 0;  ///< of those, what only this request uses
   std::vector<SharedPart> parts;
-  WeightsNumber weights;      ///< that the engine runs
-  LinkHash fetched_from = 0;  ///< 0: nothing is fetched
-  BackendHash source = 0;     ///< the engine at that link, if it is one; not sent
-  BackendHash home = 0;       ///< the prompt's home, whose tracker knows who has it; not sent
-  Duration fetch_length{0};   ///< that the link is busy
-  LinkHash saved_to = 0;      ///< store that gets the parts; 0: none
-  Duration save_length{0};    ///< that its link is busy
+  WeightsNumber weights;       ///< that the engine runs
+  LinkHash fetched_from = 0;   ///< 0: nothing is fetched
+  BackendHash source = 0;      ///< the engine at that link, if it is one; not sent
+  BackendHash home = 0;        ///< the prompt's home, whose tracker knows who has it; not sent
+  Duration fetch_duration{0};  ///< that the link is busy
+  LinkHash saved_to = 0;       ///< store that gets the parts; 0: none
+  Duration save_duration{0};   ///< that its link is busy
 };
 
 /// A backend server is to get no new requests for a while; 0: it may again.
 struct HoldUpdate {
   BackendHash backend = 0;
-  std::chrono::milliseconds length{0};
+  std::chrono::milliseconds duration{0};
 };
 
 /// A backend server was seen to run these weights.
--- a/libs/gateway/include/gateway/gateway_state.h
+++ b/libs/gateway/include/gateway/gateway_state.h
@@ -64,7 +64,7 @@
 class GatewayState {
  public:
   GatewayState(net::any_io_executor executor, ZoneId zone, GatewayLimits limits,
-               PlacementWeights weights, Metrics& metrics)
+               PlacementCosts weights, Metrics& metrics)
       : executor_(executor),
         zone_(std::move(zone)),
         limits_(limits),
@@ -97,7 +97,7 @@
     words_.SetTolerance(limits.backend_limits);
     waiting_attempts_.SetLimit(limits.older_weights);
   }
-  const PlacementWeights& weights() const { return placement_weights_; }
+  const PlacementCosts& weights() const { return placement_weights_; }
   Metrics& metrics() { return metrics_; }
   ConnectionPool& pool() { return pool_; }
   BackendDirectory& directory() { return directory_; }
@@ -125,7 +125,7 @@
   PrefixShares& prefix_shares() { return prefix_shares_; }
   const SampledShares& sampled_shares() const { return sampled_shares_; }
   /// What this gateway's own requests tell of a beginning.
-  BeginningSample SampleOf(std::uint64_t first) const {
+  PrefixSample SampleOf(std::uint64_t first) const {
     return {own_shares_.TokensOf(first), own_shares_.total()};
   }
   const TransferLinks& links() const { return links_; }
@@ -206,7 +206,7 @@
   /// What is known here of a backend server, for a gateway that asks. Its own
   /// requests there are to be taken off `work`, which has those of all others.
   BackendReport ReportOn(const Backend& backend, const LoadQuestion& question, TimePoint now);
-  StoreReport ReportOn(const AskedStore& store, const LoadQuestion& question, TimePoint now);
+  StoreReport ReportOn(const StoreQuery& store, const LoadQuestion& question, TimePoint now);
 
   /// Other gateways that are alive but tell nothing of their work.
   double unheard_gateways() const {
@@ -276,7 +276,7 @@
   ZoneId zone_;
   std::uint64_t gateway_hash_ = 0;
   GatewayLimits limits_;
-  PlacementWeights placement_weights_;
+  PlacementCosts placement_weights_;
   Metrics& metrics_;
   ConnectionPool pool_;
   BackendDirectory directory_;
--- a/libs/gateway/include/gateway/load_report.h
+++ b/libs/gateway/include/gateway/load_report.h
@@ -15,7 +15,7 @@
 namespace ridgehold {
 
 /// A store of kept cache that is asked about.
-struct AskedStore {
+struct StoreQuery {
   LinkHash link = 0;
   ZoneId zone;
 };
@@ -26,19 +26,19 @@
   std::vector<SharedPart> parts;  ///< of the prompt; only their hashes are sent
   ModelId model;
   WeightsNumber weights;            ///< of the parts in the store
-  std::optional<AskedStore> store;  ///< none: nothing is fetched from one
+  std::optional<StoreQuery> store;  ///< none: nothing is fetched from one
   BackendPtr home;                  ///< whose tracker is asked who has the parts; null: nobody
 };
 
 /// How a backend server is, by the gateway that tracks it.
 struct BackendReport {
   BackendHash backend = 0;
-  PeerLoad work;              ///< of all gateways but the asking one
-  Duration hold{0};           ///< to get no new requests so long
-  WeightsNumber weights;      ///< of the model asked for; 0: not known
-  EngineCache::Holding held;  ///< of the parts asked for
-  Duration link_wait{0};      ///< until its link is free
-  bool reachable = true;      ///< from the gateway that reports
+  PeerLoad work;                          ///< of all gateways but the asking one
+  Duration hold{0};                       ///< to get no new requests so long
+  WeightsNumber weights;                  ///< of the model asked for; 0: not known
+  EngineCache::PrefixMatch prefix_match;  ///< of the parts asked for
+  Duration link_wait{0};                  ///< until its link is free
+  bool reachable = true;                  ///< from the gateway that reports
 };
 
 /// How a store of kept cache is.
@@ -49,7 +49,7 @@
 };
 
 /// What one gateway has seen of a prompt's beginning among its own requests.
-struct BeginningSample {
+struct PrefixSample {
   double tokens = 0;  ///< brought to caches by prompts that begin so
   double total = 0;   ///< by all
 };
@@ -59,7 +59,7 @@
   std::map<BackendHash, BackendReport> backends;
   std::optional<StoreReport> store;
   std::vector<BackendHash> holders;  ///< engines that are believed to have all parts
-  std::vector<BeginningSample> samples;
+  std::vector<PrefixSample> samples;
 
   /// Null when it was not asked about, or did not answer.
   const BackendReport* Find(const Backend& backend) const {
--- a/libs/gateway/include/gateway/placement.h
+++ b/libs/gateway/include/gateway/placement.h
@@ -36,7 +36,7 @@
 inline constexpr std::uint32_t kMinFetchTokens = 256;
 
 /// Figures the choice weighs; each in milliseconds unless it says otherwise.
-struct PlacementWeights {
+struct PlacementCosts {
   /// Speed of an engine until its first answers tell (PrefillRateEstimator).
   double prefill_tokens_per_ms = 56;
   /// What a request that runs already adds to the wait for a first event.
@@ -127,8 +127,8 @@
 struct Placement {
   std::size_t index = 0;
   double cost = 0;                  ///< milliseconds it is expected to take, with prices
-  double wait = 0;                  ///< of that, until the prompt is read
-  double ahead = 0;                 ///< of that, until what was sent before has been read
+  double first_event_ms = 0;        ///< of that, until the prompt is read
+  double queue_ms = 0;              ///< of that, until what was sent before has been read
   double queued_tokens = 0;         ///< those tokens
   std::uint32_t cached_tokens = 0;  ///< expected to be in its cache, or fetched into it
   std::uint32_t known_tokens = 0;   ///< of those, what it has without a fetch
@@ -140,6 +140,6 @@
 
 /// Returns the cheapest of `candidates`, which are never none. Pure.
 Placement ChooseBackend(const PlacementQuery& query, std::span<const BackendPtr> candidates,
-                        const PlacementWeights& weights);
+                        const PlacementCosts& costs);
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/polled_choice.h
+++ b/libs/gateway/include/gateway/polled_choice.h
@@ -14,7 +14,7 @@
 /// A choice, or nothing if no backend server can take the request.
 struct PolledChoice {
   std::optional<BackendChoice> choice;
-  PollRecord asking;
+  PollRecord poll;
 };
 
 /// Like ChooseFor, among a shortlist. With 295 gateways before 240 engines nobody
--- a/libs/gateway/include/gateway/prefix_shares.h
+++ b/libs/gateway/include/gateway/prefix_shares.h
@@ -29,21 +29,21 @@
   static constexpr std::chrono::seconds kHalfLife{10};
 
   /// A request whose prompt begins with `first` brought `tokens` to a cache.
-  void Record(std::uint64_t first, double tokens, TimePoint now);
+  void Record(std::uint64_t first_part, double tokens, TimePoint now);
 
   /// The tokens noted for a beginning, and for all.
-  double TokensOf(std::uint64_t first) const;
+  double TokensOf(std::uint64_t first_part) const;
   double total() const { return total_; }
 
   /// Beginnings that were never noted have a segment without length.
-  RingSegment SegmentOf(std::uint64_t first) const;
+  RingSegment SegmentOf(std::uint64_t first_part) const;
 
  private:
-  void Halve();
+  void Decay();
 
   std::map<std::uint64_t, double> tokens_;  ///< by first part
   double total_ = 0;
-  TimePoint halved_{};
+  TimePoint decayed_at_{};
 };
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/prompt_sizes.h
+++ b/libs/gateway/include/gateway/prompt_sizes.h
@@ -14,19 +14,19 @@
  public:
   void Record(const ServiceId& service, std::uint32_t tokens) {
     const auto [entry, is_new] = means_.try_emplace(service, tokens);
-    if (!is_new) entry->second += kStep * (tokens - entry->second);
+    if (!is_new) entry->second += kSmoothing * (tokens - entry->second);
   }
 
   /// Whether the prompt is far shorter than the mean.
   bool IsSmall(const ServiceId& service, std::uint32_t tokens) const {
     const auto found = means_.find(service);
-    return found != means_.end() && tokens < kSmallPart * found->second;
+    return found != means_.end() && tokens < kSmallFraction * found->second;
   }
 
  private:
   /// Some fifty requests count.
-  static constexpr double kStep = 0.02;
-  static constexpr double kSmallPart = 0.5;
+  static constexpr double kSmoothing = 0.02;
+  static constexpr double kSmallFraction = 0.5;
 
   std::map<ServiceId, double> means_;
 };
--- a/libs/gateway/include/gateway/request_log.h
+++ b/libs/gateway/include/gateway/request_log.h
@@ -57,14 +57,14 @@
   std::optional<TimePoint> first_event;
   std::uint32_t attempts = 0;
   // What decided the last choice of a backend server.
-  PollRecord asking;
+  PollRecord poll;
   double expected_ms = 0;
-  double wait_ms = 0;  ///< expected until the prompt is read
+  double first_event_ms = 0;  ///< expected until the prompt is read
   double tokens_to_read = 0;
-  std::uint32_t shared_tokens = 0;  ///< of the prompt
-  std::uint32_t known_tokens = 0;   ///< of those, what the engine was taken to have
-  std::uint64_t shared_parts = 0;   ///< hash of them; 0: none
-  std::uint32_t running_there = 0;  ///< of all gateways
+  std::uint32_t shared_tokens = 0;       ///< of the prompt
+  std::uint32_t known_tokens = 0;        ///< of those, what the engine was taken to have
+  std::uint64_t shared_parts = 0;        ///< hash of them; 0: none
+  std::uint32_t running_at_backend = 0;  ///< of all gateways
   std::string fetched_from;
   std::optional<OlderWeightsUse> older_weights;
   std::optional<NoticeRecord> backend_notice;  ///< none: nothing, as far as is known here
@@ -72,10 +72,10 @@
   std::uint32_t permits_refused = 0;           ///< by whoever counts, at any server
   std::optional<QuotaOutcome> quota;           ///< none: the workspace has no quota
   std::uint64_t quota_tokens = 0;              ///< what the request needs of it
-  Duration quota_took{0};                      ///< until it was known
+  Duration quota_latency{0};                   ///< until it was known
   int status = 0;                              ///< sent to the caller
   ResultCode code = ResultCode::kOk;
-  bool out_of_retries = false;
+  bool retry_budget_exhausted = false;
   std::string detail;
 };
 
--- a/libs/gateway/include/gateway/routing_snapshot.h
+++ b/libs/gateway/include/gateway/routing_snapshot.h
@@ -145,7 +145,7 @@
   explicit RoutingSnapshot(RoutingConfig parts) : parts_(std::move(parts)) {}
 
   Result<void> Index();
-  void NoteObjective(const RouteRule& route);
+  void IndexObjective(const RouteRule& route);
 
   RoutingConfig parts_;
   /// Keyed by host, a newline and prefix.
--- a/libs/gateway/include/gateway/sampled_shares.h
+++ b/libs/gateway/include/gateway/sampled_shares.h
@@ -25,10 +25,10 @@
 
   /// A gateway has seen requests bring `total` tokens to caches, `tokens` of them
   /// with this beginning.
-  void Record(std::uint64_t first, double tokens, double total, TimePoint now);
+  void Record(std::uint64_t first_part, double tokens, double total, TimePoint now);
 
   /// Its segment of the circle; the whole circle while nothing is known of it.
-  RingSegment SegmentOf(std::uint64_t first) const;
+  RingSegment SegmentOf(std::uint64_t first_part) const;
 
  private:
   struct Sample {
@@ -38,10 +38,10 @@
     double share() const { return total > 0 ? tokens / total : 0; }
   };
 
-  void Halve();
+  void Decay();
 
   std::map<std::uint64_t, Sample> samples_;  ///< by first part
-  TimePoint halved_{};
+  TimePoint decayed_at_{};
 };
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/shortlist.h
+++ b/libs/gateway/include/gateway/shortlist.h
@@ -20,8 +20,8 @@
   const PromptChain* chain = nullptr;  ///< null for calls of plain services
   ModelId model;
   std::optional<WeightsNumber> newest_weights;
-  RingSegment segment;     ///< of the engines that keep the prompt's beginning
-  std::uint64_t draw = 0;  ///< differs by request
+  RingSegment segment;            ///< of the engines that keep the prompt's beginning
+  std::uint64_t random_seed = 0;  ///< differs by request
   TimePoint now{};
 };
 
@@ -54,7 +54,7 @@
 /// More candidates of all zones, drawn, without those in `listed`. Pure.
 std::vector<BackendPtr> ExtendShortlist(const ShortlistQuery& query,
                                         std::span<const BackendPtr> candidates,
-                                        std::span<const BackendPtr> listed,
+                                        std::span<const BackendPtr> polled,
                                         const ShortlistSizes& sizes = {});
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/transfer_links.h
+++ b/libs/gateway/include/gateway/transfer_links.h
@@ -29,7 +29,7 @@
   Duration QueueDelay(LinkHash link, TimePoint now) const;
 
   /// A transfer that takes `length` was asked for.
-  void Reserve(LinkHash link, Duration length, TimePoint now);
+  void Reserve(LinkHash link, Duration duration, TimePoint now);
 
  private:
   std::unordered_map<LinkHash, TimePoint> busy_until_;
--- a/libs/gateway/include/gateway/weights_history.h
+++ b/libs/gateway/include/gateway/weights_history.h
@@ -38,7 +38,7 @@
   void SetListener(std::function<void()> listener) { on_change_ = std::move(listener); }
 
   /// All that is remembered, ascending by number.
-  const std::map<ModelId, std::vector<Announcement>>& all() const { return namings_; }
+  const std::map<ModelId, std::vector<Announcement>>& all() const { return announcements_; }
 
   /// The newest number, if any was named.
   std::optional<WeightsNumber> Newest(const ModelId& model) const;
@@ -55,18 +55,18 @@
 
   /// Whether the moment of any naming is a guess, so that others are to be asked.
   bool has_assumed_times() const {
-    return std::ranges::any_of(namings_, [](const auto& model) {
+    return std::ranges::any_of(announcements_, [](const auto& model) {
       return std::ranges::any_of(model.second, &Announcement::assumed);
     });
   }
 
  private:
-  void Changed() const {
+  void NotifyChanged() const {
     if (on_change_) on_change_();
   }
 
   std::function<void()> on_change_;
-  std::map<ModelId, std::vector<Announcement>> namings_;
+  std::map<ModelId, std::vector<Announcement>> announcements_;
 };
 
 }  // namespace ridgehold
--- a/libs/gateway/src/backend_directory.cc
+++ b/libs/gateway/src/backend_directory.cc
@@ -7,10 +7,10 @@
 namespace {
 
 // Without a first event for so long nothing is known of an engine's queue.
-constexpr std::chrono::milliseconds kWaitRemembered{3'000};
+constexpr std::chrono::milliseconds kWaitSampleTtl{3'000};
 
 /// Weights only move forward; an older number is late news.
-void RaiseWeights(Backend& backend, const ModelId& model, WeightsNumber weights) {
+void AdvanceWeights(Backend& backend, const ModelId& model, WeightsNumber weights) {
   WeightsNumber& known = backend.weights[model];
   if (weights <= known) return;
   known = weights;
@@ -24,14 +24,14 @@
 }
 
 Registration BackendDirectory::Put(const BackendEntry& entry) {
-  const Registration registration = Judge(entry);
+  const Registration registration = Classify(entry);
   if (registration == Registration::kStale) return registration;
   Supersede(entry);
   Store(entry, registration);
   return registration;
 }
 
-Registration BackendDirectory::Judge(const BackendEntry& entry) const {
+Registration BackendDirectory::Classify(const BackendEntry& entry) const {
   const auto start = starts_.find(entry.id);
   const bool compared = start != starts_.end() && entry.started != StartStamp();
   if (compared && entry.started < start->second) return Registration::kStale;
@@ -43,38 +43,38 @@
 
 void BackendDirectory::Store(const BackendEntry& entry, Registration registration) {
   if (registration == Registration::kRestarted) Drop(entry.id);
-  NoteStart(entry);
+  RecordStart(entry);
   BackendPtr& backend = backends_[entry.id];
   const bool is_new = !backend;
   if (is_new) backend = std::make_shared<Backend>();
   by_hash_.erase(HashOf(*backend));
   backend->grace_until.reset();
   backend->removed = false;
-  for (const auto& [model, weights] : entry.weights) RaiseWeights(*backend, model, weights);
+  for (const auto& [model, weights] : entry.weights) AdvanceWeights(*backend, model, weights);
   // An entry that does not tell the start is of the process that is known.
   const StartStamp started = std::max(entry.started, backend->entry.started);
   backend->entry = entry;
   backend->entry.started = started;
   by_hash_[HashOf(*backend)] = backend;
-  if (is_new) TakeKeptWord(*backend);
+  if (is_new) RestoreNotice(*backend);
 }
 
-void BackendDirectory::KeepWord(const Backend& backend) {
-  const BackendWord& word = backend.notice_state;
-  const bool says_something = word.limit() || word.leaving() || word.rest_until() != TimePoint();
-  if (!says_something) return;
-  if (words_.size() >= kMostStarts) words_.clear();
-  words_[HashOf(backend)] = word;
+void BackendDirectory::SaveNotice(const Backend& backend) {
+  const BackendWord& notice = backend.notice_state;
+  const bool has_content = notice.limit() || notice.leaving() || notice.rest_until() != TimePoint();
+  if (!has_content) return;
+  if (saved_notices_.size() >= kMaxRememberedStarts) saved_notices_.clear();
+  saved_notices_[HashOf(backend)] = notice;
 }
 
-void BackendDirectory::TakeKeptWord(Backend& backend) {
-  const auto kept = words_.extract(HashOf(backend));
-  if (!kept.empty()) backend.notice_state = kept.mapped();
+void BackendDirectory::RestoreNotice(Backend& backend) {
+  const auto saved = saved_notices_.extract(HashOf(backend));
+  if (!saved.empty()) backend.notice_state = saved.mapped();
 }
 
-void BackendDirectory::NoteStart(const BackendEntry& entry) {
+void BackendDirectory::RecordStart(const BackendEntry& entry) {
   if (entry.started == StartStamp()) return;
-  if (starts_.size() >= kMostStarts) {
+  if (starts_.size() >= kMaxRememberedStarts) {
     std::erase_if(starts_, [this](const auto& start) { return !backends_.contains(start.first); });
   }
   starts_[entry.id] = entry.started;
@@ -85,13 +85,13 @@
   if (!IsServed(newcomer.service)) return;
   for (const auto& [id, backend] : backends_) {
     if (backend->entry.address != newcomer.address) continue;
-    if (!std::exchange(backend->superseded, true)) TellEnd(*backend);
+    if (!std::exchange(backend->superseded, true)) NotifyTermination(*backend);
   }
 }
 
-void BackendDirectory::TellEnd(const Backend& backend) const {
+void BackendDirectory::NotifyTermination(const Backend& backend) const {
   const bool announced = backend.entry.draining || backend.notice_state.leaving();
-  if (on_end_ && !announced) on_end_(backend);
+  if (on_termination_ && !announced) on_termination_(backend);
 }
 
 void BackendDirectory::SetServices(std::set<ServiceId> services) {
@@ -102,8 +102,8 @@
   const auto found = backends_.find(id);
   if (found == backends_.end()) return;
   found->second->removed = true;
-  KeepWord(*found->second);
-  TellEnd(*found->second);
+  SaveNotice(*found->second);
+  NotifyTermination(*found->second);
   by_hash_.erase(HashOf(*found->second));
   backends_.erase(found);
 }
@@ -121,11 +121,11 @@
   std::set<BackendId> listed;
   // Which of two at one address is newer, the list does not tell.
   for (const BackendEntry& entry : entries) {
-    if (Judge(entry) != Registration::kStale) Supersede(entry);
+    if (Classify(entry) != Registration::kStale) Supersede(entry);
   }
   for (const BackendEntry& entry : entries) {
     listed.insert(entry.id);
-    const Registration registration = Judge(entry);
+    const Registration registration = Classify(entry);
     if (registration != Registration::kStale) Store(entry, registration);
   }
   std::vector<BackendId> missing;
@@ -170,7 +170,7 @@
   const double unread = backend.unprefilled_tokens + backend.peers.unread_tokens;
   Duration wait = std::chrono::duration_cast<Duration>(
       std::chrono::duration<double, std::milli>(std::max(0.0, unread) / tokens_per_ms));
-  if (now - backend.first_event_wait_at < kWaitRemembered)
+  if (now - backend.first_event_wait_at < kWaitSampleTtl)
     wait = std::max(wait, backend.first_event_wait);
   if (backend.waiting_since.empty()) return wait;
   const auto oldest = std::chrono::duration_cast<Duration>(now - *backend.waiting_since.begin());
@@ -178,7 +178,7 @@
 }
 
 void BackendDirectory::RecordFirstEvent(Backend& backend, Duration waited, TimePoint now) {
-  const bool recent = now - backend.first_event_wait_at < kWaitRemembered;
+  const bool recent = now - backend.first_event_wait_at < kWaitSampleTtl;
   const Duration known = recent ? backend.first_event_wait : Duration::zero();
   // A queue that grows is believed at once, one that shrinks step by step.
   backend.first_event_wait = std::max<Duration>(waited, (2 * known + waited) / 3);
@@ -211,8 +211,9 @@
   backend.error_rate += kErrorRateStep * (1 - backend.error_rate);
 }
 
-void BackendDirectory::NoteWeights(Backend& backend, const ModelId& model, WeightsNumber weights) {
-  RaiseWeights(backend, model, weights);
+void BackendDirectory::RecordWeights(Backend& backend, const ModelId& model,
+                                     WeightsNumber weights) {
+  AdvanceWeights(backend, model, weights);
 }
 
 }  // namespace ridgehold
--- a/libs/gateway/src/backend_load.cc
+++ b/libs/gateway/src/backend_load.cc
@@ -15,9 +15,9 @@
   if (choice.fetch_from) placed.fetched_from = LinkOf(*choice.fetch_from);
   if (choice.home) placed.home = HashOf(*choice.home);
   if (choice.fetch_backend) placed.source = HashOf(*choice.fetch_backend);
-  placed.fetch_length = choice.fetch_length;
+  placed.fetch_duration = choice.fetch_duration;
   if (choice.save_to) placed.saved_to = LinkOf(*choice.save_to);
-  placed.save_length = choice.save_length;
+  placed.save_duration = choice.save_duration;
   return placed;
 }
 
@@ -25,43 +25,43 @@
                          const InboundRequest& request, const BackendChoice& choice, bool last_run)
     : state_(state),
       backend_(choice.backend),
-      tokens_ahead_(choice.queued_tokens),
+      queued_tokens_(choice.queued_tokens),
       fetches_(choice.fetch_from.has_value()),
-      unread_tokens_(choice.tokens_to_read),
+      unprefilled_tokens_(choice.tokens_to_read),
       unrepeatable_(last_run || !plan.route->MayRepeat()) {
   ++backend_->in_flight;
-  backend_->unprefilled_tokens += unread_tokens_;
+  backend_->unprefilled_tokens += unprefilled_tokens_;
   if (unrepeatable_) ++backend_->unrepeatable;
   state_.NoteLoadChange();
   if (!plan.chain) return;
-  waiting_ = backend_->waiting_since.insert(Clock::now());
+  waiting_entry_ = backend_->waiting_since.insert(Clock::now());
   state.TellPlaced(PlacementUpdateOf(plan, request, choice));
 }
 
 BackendLoad::~BackendLoad() {
-  EndReading();
+  EndPrefill();
   --backend_->in_flight;
   if (unrepeatable_) --backend_->unrepeatable;
   state_.NoteLoadChange();
 }
 
 void BackendLoad::OnFirstEvent(TimePoint now) {
-  if (!waiting_) return;
-  const auto waited = std::chrono::duration_cast<Duration>(now - **waiting_);
+  if (!waiting_entry_) return;
+  const auto waited = std::chrono::duration_cast<Duration>(now - **waiting_entry_);
   // A wait for a link says nothing of reading.
   if (!fetches_) {
-    const double tokens = tokens_ahead_ + unread_tokens_;
+    const double tokens = queued_tokens_ + unprefilled_tokens_;
     state_.reading_speed(backend_->entry.service).Record(tokens, waited);
   }
-  EndReading();
+  EndPrefill();
   BackendDirectory::RecordFirstEvent(*backend_, waited, now);
   state_.NoteLoadChange();
 }
 
-void BackendLoad::EndReading() {
-  backend_->unprefilled_tokens -= std::exchange(unread_tokens_, 0);
-  if (waiting_) backend_->waiting_since.erase(*waiting_);
-  waiting_.reset();
+void BackendLoad::EndPrefill() {
+  backend_->unprefilled_tokens -= std::exchange(unprefilled_tokens_, 0);
+  if (waiting_entry_) backend_->waiting_since.erase(*waiting_entry_);
+  waiting_entry_.reset();
 }
 
 }  // namespace ridgehold
--- a/libs/gateway/src/backend_search.cc
+++ b/libs/gateway/src/backend_search.cc
@@ -11,52 +11,53 @@
 net::awaitable<std::optional<BackendChoice>> BackendSearch::Find(bool stream_begun) {
   stream_begun_ = stream_begun;
   std::optional<BackendChoice> choice;
-  Look look = co_await LookOnce(choice);
-  if (look == Look::kWait) look = co_await WaitForTurn(choice);
-  if (look == Look::kNone) choice.reset();
+  Outcome outcome = co_await TryOnce(choice);
+  if (outcome == Outcome::kWait) outcome = co_await WaitForCapacity(choice);
+  if (outcome == Outcome::kNone) choice.reset();
   co_return choice;
 }
 
-net::awaitable<BackendSearch::Look> BackendSearch::LookOnce(std::optional<BackendChoice>& choice) {
-  for (int refused = 0; refused < kMostPermitsRefused; ++refused) {
-    choice = co_await ChooseSparing();
-    if (!choice) co_return RoomSoon() ? Look::kWait : Look::kNone;
-    if (!MaySend(*choice)) co_return Look::kWait;
+net::awaitable<BackendSearch::Outcome> BackendSearch::TryOnce(
+    std::optional<BackendChoice>& choice) {
+  for (int refused = 0; refused < kMaxPermitRefusals; ++refused) {
+    choice = co_await ChooseAvoidingRateLimited();
+    if (!choice) co_return HasCapacitySoon() ? Outcome::kWait : Outcome::kNone;
+    if (!MaySend(*choice)) co_return Outcome::kWait;
     request_.record.permit = co_await AcquirePermit(state_, choice->backend);
-    if (request_.record.permit.MaySend()) co_return Look::kFound;
+    if (request_.record.permit.MaySend()) co_return Outcome::kFound;
     ++request_.record.permits_refused;
   }
   // Those are barred for others, too: the next look asks few.
   choice.reset();
-  co_return Look::kWait;
+  co_return Outcome::kWait;
 }
 
-net::awaitable<BackendSearch::Look> BackendSearch::WaitForTurn(
+net::awaitable<BackendSearch::Outcome> BackendSearch::WaitForCapacity(
     std::optional<BackendChoice>& choice) {
   DeferredRequests::Ticket ticket(state_.deferred_requests(), request_.plan.priority.value_or(0));
   Timer timer(state_.executor());
   const TimePoint began = Clock::now();
   const auto pause = state_.asks_first() ? DeferredRequests::kAskingLook : DeferredRequests::kLook;
-  Look look = Look::kWait;
-  while (look == Look::kWait && !request_.abandoned() &&
+  Outcome outcome = Outcome::kWait;
+  while (outcome == Outcome::kWait && !request_.abandoned() &&
          Clock::now() + state_.limits().least_time < request_.wait_limit()) {
     co_await WaitFor(timer, pause);
-    if (MayLook(ticket, choice)) look = co_await LookOnce(choice);
+    if (MayRetry(ticket, choice)) outcome = co_await TryOnce(choice);
   }
   request_.record.deferred = std::chrono::duration_cast<Duration>(Clock::now() - began);
   // At the end of its time a request is sent although the engine is full, but not
   // without the permit that the engine's own word demands.
   const bool demands_permit = !choice || choice->backend->notice_state.limit();
-  if (look == Look::kWait) look = demands_permit ? Look::kNone : Look::kFound;
-  co_return look;
+  if (outcome == Outcome::kWait) outcome = demands_permit ? Outcome::kNone : Outcome::kFound;
+  co_return outcome;
 }
 
-net::awaitable<std::optional<BackendChoice>> BackendSearch::ChooseSparing() {
+net::awaitable<std::optional<BackendChoice>> BackendSearch::ChooseAvoidingRateLimited() {
   ExchangePlan& plan = request_.plan;
   plan.avoid_rate_limited = AvoidsRateLimited(state_, plan, Clock::now());
   std::optional<BackendChoice> choice = co_await Choose();
-  const bool spared = std::exchange(plan.avoid_rate_limited, false);
-  if (spared && !choice) choice = co_await Choose();
+  const bool avoided = std::exchange(plan.avoid_rate_limited, false);
+  if (avoided && !choice) choice = co_await Choose();
   co_return choice;
 }
 
@@ -64,44 +65,44 @@
   const auto& [plan, inbound, tried, record, abandoned, wait_limit] = request_;
   if (!state_.asks_first()) co_return ChooseFor(state_, plan, inbound, tried, Clock::now());
   PolledChoice asked = co_await PollAndChoose(state_, plan, inbound, tried);
-  record.asking = asked.asking;
+  record.poll = asked.poll;
   co_return std::move(asked.choice);
 }
 
-bool BackendSearch::MayLook(DeferredRequests::Ticket& ticket,
-                            const std::optional<BackendChoice>& choice) const {
-  if (!choice) return ticket.MayLook() || !RoomSoon();
+bool BackendSearch::MayRetry(DeferredRequests::Ticket& ticket,
+                             const std::optional<BackendChoice>& choice) const {
+  if (!choice) return ticket.MayLook() || !HasCapacitySoon();
   const AdmissionQuery place = AdmissionQueryFor(request_.plan, *choice, Clock::now());
   if (!Admission::InTime(place)) ticket.SetLate();
-  return ticket.MayLook() || RuleOfAdmission().WaitedEnough(place);
+  return ticket.MayLook() || AdmissionRule().WaitedEnough(place);
 }
 
 bool BackendSearch::MaySend(const BackendChoice& choice) const {
   if (!request_.plan.chain || stream_begun_) return true;
   const AdmissionQuery query = AdmissionQueryFor(request_.plan, choice, Clock::now());
-  return RuleOfAdmission().MaySend(query);
+  return AdmissionRule().MaySend(query);
 }
 
-std::optional<TimePoint> BackendSearch::NextRoom() const {
+std::optional<TimePoint> BackendSearch::NextCapacity() const {
   return EarliestCapacity(state_, request_.plan, request_.inbound, request_.tried, Clock::now());
 }
 
 /// Whether waiting here is better than coming back: the caller's tries are few. The
 /// caller of a stream that has begun cannot come back, but is still reading.
-bool BackendSearch::RoomSoon() const {
-  const std::optional<TimePoint> room = NextRoom();
-  if (!room) return false;
+bool BackendSearch::HasCapacitySoon() const {
+  const std::optional<TimePoint> capacity_at = NextCapacity();
+  if (!capacity_at) return false;
   const ExchangePlan& plan = request_.plan;
-  const TimePoint patience = plan.received + plan.route->latency_objective / 4;
-  const TimePoint until = stream_begun_ ? plan.answer_by : patience;
-  return *room < until && Clock::now() < until;
+  const TimePoint wait_limit_for_caller = plan.received + plan.route->latency_objective / 4;
+  const TimePoint until = stream_begun_ ? plan.answer_by : wait_limit_for_caller;
+  return *capacity_at < until && Clock::now() < until;
 }
 
 std::chrono::milliseconds BackendSearch::RetryAfter() const {
-  const std::optional<TimePoint> room = NextRoom();
+  const std::optional<TimePoint> capacity_at = NextCapacity();
   const TimePoint now = Clock::now();
-  if (!room || *room <= now) return DefaultRetryAfter(request_.plan);
-  return RetryAfterCapacity(request_.plan, request_.inbound, *room, now);
+  if (!capacity_at || *capacity_at <= now) return DefaultRetryAfter(request_.plan);
+  return RetryAfterCapacity(request_.plan, request_.inbound, *capacity_at, now);
 }
 
 }  // namespace ridgehold
--- a/libs/gateway/src/engine_cache.cc
+++ b/libs/gateway/src/engine_cache.cc
@@ -27,7 +27,7 @@
 void EngineCache::Evict(std::uint64_t capacity) {
   while (!entries_.empty()) {
     const bool over = capacity > 0 && tokens_ > capacity;
-    if (!over && entries_.size() <= kMostEntries) break;
+    if (!over && entries_.size() <= kMaxEntries) break;
     const Entry& oldest = entries_.back();
     tokens_ -= oldest.tokens;
     if (oldest.shared) by_hash_.erase(oldest.hash);
@@ -35,24 +35,24 @@
   }
 }
 
-EngineCache::Holding EngineCache::Find(std::span<const SharedPart> parts, Duration prefill_delay,
-                                       TimePoint now) const {
-  Holding holding;
+EngineCache::PrefixMatch EngineCache::Find(std::span<const SharedPart> parts,
+                                           Duration prefill_delay, TimePoint now) const {
+  PrefixMatch match;
   const Entry* last = nullptr;
   for (const SharedPart& part : parts) {
     const auto found = by_hash_.find(part.hash);
     if (found == by_hash_.end()) break;
     last = &*found->second;
-    const bool read = holding.readable == holding.tokens && now - last->placed >= prefill_delay;
-    holding.tokens += last->tokens;
-    if (read) holding.readable = holding.tokens;
+    const bool read = match.prefilled == match.tokens && now - last->placed >= prefill_delay;
+    match.tokens += last->tokens;
+    if (read) match.prefilled = match.tokens;
   }
-  if (last == nullptr) return holding;
+  if (last == nullptr) return match;
   for (const Entry& entry : entries_) {
     if (&entry == last) break;
-    holding.used_since += entry.tokens;
+    match.used_since += entry.tokens;
   }
-  return holding;
+  return match;
 }
 
 void EngineCache::Clear() {
--- a/libs/gateway/src/exchange_plan.cc
+++ b/libs/gateway/src/exchange_plan.cc
@@ -10,19 +10,19 @@
 namespace {
 
 // A refusal by a full or reloading backend server keeps others from trying it at once.
-constexpr std::chrono::milliseconds kRefusalPause{120};
+constexpr std::chrono::milliseconds kRefusalBackoff{120};
 // An engine on older weights that refuses is most likely loading newer ones, which takes 0.8 s.
-constexpr std::chrono::milliseconds kReloadPause{500};
+constexpr std::chrono::milliseconds kReloadBackoff{500};
 // Silence within a stream that no sound engine shows; callers give up after 4 s or more.
-constexpr std::chrono::milliseconds kLongestStreamSilence{3'000};
+constexpr std::chrono::milliseconds kMaxStreamSilence{3'000};
 // Queue ranks that a request may be given; 0 is first.
-constexpr int kLastQueueRank = 9;
+constexpr int kMaxQueuePriority = 9;
 constexpr int kMisdirected = 421;
 constexpr int kFirstSuccess = 200;
 constexpr int kFirstRedirect = 300;
 constexpr int kFirstServerError = 500;
 
-std::chrono::milliseconds TimeAllowed(const RouteRule& route, const InboundRequest& request) {
+std::chrono::milliseconds EffectiveTimeout(const RouteRule& route, const InboundRequest& request) {
   if (!request.time_limit) return route.timeout;
   if (route.timeout.count() <= 0) return *request.time_limit;
   return std::min(route.timeout, *request.time_limit);
@@ -56,11 +56,11 @@
 /// Whether a request that is sent at `now` can still begin on the weights the
 /// backend server has: the bound is about the beginning, and requests wait
 /// there for as long as the last ones did.
-bool WeightsAllowed(const GatewayState& state, const Backend& backend, const ModelId& model,
-                    TimePoint now) {
-  const auto own = WeightsOf(backend, model);
-  if (!own) return true;
-  const auto outdated = state.named_weights().SupersededSince(model, *own);
+bool MayStartOnWeights(const GatewayState& state, const Backend& backend, const ModelId& model,
+                       TimePoint now) {
+  const auto current = WeightsOf(backend, model);
+  if (!current) return true;
+  const auto outdated = state.named_weights().SupersededSince(model, *current);
   if (!outdated) return true;
   const double speed = state.TokensPerMs(backend.entry.service);
   const TimePoint begins = now + BackendDirectory::ExpectedWait(backend, speed, now);
@@ -68,15 +68,15 @@
 }
 
 /// How long a backend server that refused is left alone.
-std::chrono::milliseconds PauseAfterRefusal(const GatewayState& state,
-                                            const InboundRequest& request, const Backend& backend,
-                                            const AttemptFacts& facts) {
+std::chrono::milliseconds BackoffAfterRefusal(const GatewayState& state,
+                                              const InboundRequest& request, const Backend& backend,
+                                              const AttemptFacts& facts) {
   if (facts.status == kMisdirected) return BackendDirectory::kInitialBackoff;
-  if (!request.generation) return kRefusalPause;
+  if (!request.generation) return kRefusalBackoff;
   const ModelId& model = request.generation->model;
-  const auto own = WeightsOf(backend, model);
-  const bool outdated = own && state.named_weights().SupersededSince(model, *own);
-  return outdated ? kReloadPause : kRefusalPause;
+  const auto current = WeightsOf(backend, model);
+  const bool outdated = current && state.named_weights().SupersededSince(model, *current);
+  return outdated ? kReloadBackoff : kRefusalBackoff;
 }
 
 std::optional<QuotaDemand> QuotaDemandOf(const GatewayState& state, const ExchangePlan& plan,
@@ -97,19 +97,19 @@
   return demand;
 }
 
-const EngineProfile* EngineOf(const ExchangePlan& plan) {
+const EngineProfile* ProfileOf(const ExchangePlan& plan) {
   const ServiceRule* service = plan.snapshot->FindService(plan.service);
   return service != nullptr && service->engine ? &*service->engine : nullptr;
 }
 
 double EngineLinkMbps(const ExchangePlan& plan) {
-  const EngineProfile* engine = EngineOf(plan);
+  const EngineProfile* engine = ProfileOf(plan);
   return engine != nullptr ? engine->link_mbps : 0;
 }
 
 /// What a token of KV cache takes over such a link; 0: not known.
 double LinkMsPerToken(const ExchangePlan& plan, double link_mbps) {
-  const EngineProfile* engine = EngineOf(plan);
+  const EngineProfile* engine = ProfileOf(plan);
   if (engine == nullptr || link_mbps <= 0) return 0;
   constexpr double kBitsPerByte = 8;
   constexpr double kBitsPerMsAtOneMbps = 1'000;
@@ -123,7 +123,7 @@
 void ChooseCacheSource(const ExchangePlan& plan, std::span<const BackendPtr> candidates,
                        const Placement& placement, BackendChoice& choice) {
   if (!placement.lacks_parts && !placement.may_lack_parts) return;
-  if (placement.source) choice.fetch_length = DurationOf(placement.source->link_ms);
+  if (placement.source) choice.fetch_duration = DurationOf(placement.source->link_ms);
   if (placement.source && placement.source->engine) {
     choice.fetch_backend = candidates[*placement.source->engine];
     choice.fetch_from = choice.fetch_backend->entry.address;
@@ -135,7 +135,7 @@
   choice.save_to = store->address;
   if (placement.source) return;
   const double distance = choice.backend->entry.zone == store->zone ? 1 : 2;
-  choice.save_length =
+  choice.save_duration =
       DurationOf(distance * LinkMsPerToken(plan, store->link_mbps) * plan.chain->shared_tokens);
 }
 
@@ -152,10 +152,12 @@
   BOOST_LEAF_ASSIGN(plan.workspace, Authorize(state, *plan.snapshot, *plan.route, request, now));
   plan.service = PickTarget(*plan.route, request.id);
   plan.received = request.received;
-  plan.answer_by = request.received + TimeAllowed(*plan.route, request);
-  const bool own_priority = plan.workspace != nullptr && plan.workspace->priority.has_value();
-  plan.priority = std::clamp(own_priority ? *plan.workspace->priority : plan.route->priority, 0,
-                             kLastQueueRank);
+  plan.answer_by = request.received + EffectiveTimeout(*plan.route, request);
+  const bool has_workspace_priority =
+      plan.workspace != nullptr && plan.workspace->priority.has_value();
+  plan.priority =
+      std::clamp(has_workspace_priority ? *plan.workspace->priority : plan.route->priority, 0,
+                 kMaxQueuePriority);
   plan.cache_scope = ScopeOf(plan.workspace);
   plan.quota = QuotaDemandOf(state, plan, request);
   if (request.generation) {
@@ -173,7 +175,7 @@
     if (tried.contains(backend->entry.id) || backend->notice_state.Bars(now)) return true;
     if (plan.avoid_rate_limited && backend->notice_state.limit()) return true;
     if (!request.generation) return false;
-    return !WeightsAllowed(state, *backend, request.generation->model, now);
+    return !MayStartOnWeights(state, *backend, request.generation->model, now);
   });
   const Suspicion suspicion = state.poison().SuspicionOf(plan.fingerprint, now);
   if (suspicion == Suspicion::kLastTrial && !candidates.empty()) {
@@ -184,28 +186,29 @@
 
 bool AvoidsRateLimited(const GatewayState& state, const ExchangePlan& plan, TimePoint now) {
   // Fewer without a limit could not carry all small requests.
-  constexpr double kLeastPart = 0.1;
+  constexpr double kMinUnlimitedFraction = 0.1;
   const bool small = plan.chain && state.words().AnyLimit(now) &&
                      state.prompt_sizes().IsSmall(plan.service, plan.chain->prompt_tokens);
   if (!small) return false;
   const std::vector<BackendPtr> usable = state.directory().Usable(plan.service, now);
   const auto unlimited = std::ranges::count_if(
       usable, [](const BackendPtr& backend) { return !backend->notice_state.limit(); });
-  return static_cast<double>(unlimited) >= kLeastPart * static_cast<double>(usable.size());
+  return static_cast<double>(unlimited) >=
+         kMinUnlimitedFraction * static_cast<double>(usable.size());
 }
 
 std::optional<TimePoint> EarliestCapacity(const GatewayState& state, const ExchangePlan& plan,
                                           const InboundRequest& request,
                                           const std::set<BackendId>& tried, TimePoint now) {
-  std::optional<TimePoint> soonest;
+  std::optional<TimePoint> earliest;
   for (const BackendPtr& backend : state.directory().Usable(plan.service, now)) {
     const bool may_take =
-        !request.generation || WeightsAllowed(state, *backend, request.generation->model, now);
+        !request.generation || MayStartOnWeights(state, *backend, request.generation->model, now);
     if (tried.contains(backend->entry.id) || !may_take) continue;
     const TimePoint room = std::max(now, backend->notice_state.barred_until());
-    soonest = soonest ? std::min(*soonest, room) : room;
+    earliest = earliest ? std::min(*earliest, room) : room;
   }
-  return soonest;
+  return earliest;
 }
 
 std::chrono::milliseconds DefaultRetryAfter(const ExchangePlan& plan) {
@@ -217,12 +220,12 @@
 std::chrono::milliseconds RetryAfterCapacity(const ExchangePlan& plan,
                                              const InboundRequest& request, TimePoint room,
                                              TimePoint now) {
-  constexpr double kSpread = 0.5;
+  constexpr double kMaxJitter = 0.5;
   const std::uint64_t hash = XXH3_64bits(request.id.value().data(), request.id.value().size());
-  const double drawn = static_cast<double>(hash) / static_cast<double>(UINT64_MAX);
+  const double jitter = static_cast<double>(hash) / static_cast<double>(UINT64_MAX);
   const auto until = std::chrono::duration<double, std::milli>(room - now);
   const std::chrono::duration<double, std::milli> least = DefaultRetryAfter(plan);
-  const auto wait = std::max(until, least) * (1 + kSpread * drawn);
+  const auto wait = std::max(until, least) * (1 + kMaxJitter * jitter);
   return std::chrono::ceil<std::chrono::milliseconds>(wait);
 }
 
@@ -253,7 +256,7 @@
   if (request.generation) {
     query.chain = &*plan.chain;
     query.tokens_per_ms = state.TokensPerMs(plan.service);
-    if (const EngineProfile* engine = EngineOf(plan)) query.cache_tokens = engine->cache_tokens;
+    if (const EngineProfile* engine = ProfileOf(plan)) query.cache_tokens = engine->cache_tokens;
     query.links = &state.links();
     query.engine_ms_per_token = LinkMsPerToken(plan, EngineLinkMbps(plan));
     if (const KvCacheStore* store = KvStoreForPrompt(plan)) {
@@ -273,8 +276,8 @@
   BackendChoice choice;
   choice.backend = candidates[placement.index];
   choice.expected_ms = placement.cost;
-  choice.queue_ms = placement.ahead;
-  choice.wait_ms = placement.wait;
+  choice.queue_ms = placement.queue_ms;
+  choice.first_event_ms = placement.first_event_ms;
   if (request.generation) {
     choice.queued_tokens = placement.queued_tokens;
     choice.known_tokens = placement.known_tokens;
@@ -292,7 +295,7 @@
                                  TimePoint now) {
   AdmissionQuery query;
   query.ahead = DurationOf(choice.queue_ms);
-  query.own = DurationOf(choice.wait_ms - choice.queue_ms);
+  query.own = DurationOf(choice.first_event_ms - choice.queue_ms);
   query.room = plan.snapshot->ShortestObjective(plan.service);
   query.objective = plan.route->latency_objective;
   query.age = std::chrono::duration_cast<Duration>(now - plan.received);
@@ -305,7 +308,7 @@
   if (backend.removed || backend.superseded || backend.entry.draining) return false;
   if (backend.grace_until && now >= *backend.grace_until) return false;
   if (backend.notice_state.leaving() || now < backend.notice_state.rest_until()) return false;
-  return !request.generation || WeightsAllowed(state, backend, request.generation->model, now);
+  return !request.generation || MayStartOnWeights(state, backend, request.generation->model, now);
 }
 
 AttemptDirectives DirectivesFor(const GatewayState& /*state*/, const ExchangePlan& plan,
@@ -355,7 +358,7 @@
                         TimePoint now) {
   const bool another_run = facts.may_repeat && facts.runs + 1 < facts.max_runs;
   if (!another_run || !passed_any) return plan.answer_by;
-  return std::min<TimePoint>(plan.answer_by, now + kLongestStreamSilence);
+  return std::min<TimePoint>(plan.answer_by, now + kMaxStreamSilence);
 }
 
 bool IsSuccess(int status) { return status >= kFirstSuccess && status < kFirstRedirect; }
@@ -392,8 +395,8 @@
       return;
   }
   if (ProvesNotRun(facts)) {
-    const auto pause = PauseAfterRefusal(state, request, backend, facts);
-    backend.avoid_until = std::max<TimePoint>(backend.avoid_until, now + pause);
+    const auto backoff = BackoffAfterRefusal(state, request, backend, facts);
+    backend.avoid_until = std::max<TimePoint>(backend.avoid_until, now + backoff);
     return;
   }
   if (facts.status >= kFirstServerError) return BackendDirectory::RecordErrorResponse(backend);
--- a/libs/gateway/src/gateway_state.cc
+++ b/libs/gateway/src/gateway_state.cc
@@ -71,9 +71,9 @@
 }
 
 void GatewayState::NoteTransfers(const PlacementUpdate& placed, TimePoint now) {
-  if (placed.fetched_from != 0) links_.Reserve(placed.fetched_from, placed.fetch_length, now);
+  if (placed.fetched_from != 0) links_.Reserve(placed.fetched_from, placed.fetch_duration, now);
   if (placed.saved_to == 0) return;
-  links_.Reserve(placed.saved_to, placed.save_length, now);
+  links_.Reserve(placed.saved_to, placed.save_duration, now);
   const std::vector<SharedPart> parts = StoredParts(placed.parts, placed.weights);
   const KvCacheStore* store = StoreAt(placed.saved_to);
   kept_[placed.saved_to].Use(parts, 0, store != nullptr ? store->cache_tokens : 0, now);
@@ -109,7 +109,7 @@
   LoadAnswer answer = co_await ask_loads_(std::move(question));
   const TimePoint now = Clock::now();
   for (const auto& [hash, report] : answer.backends) TakeReport(asked, report, now);
-  for (const BeginningSample& sample : answer.samples) {
+  for (const PrefixSample& sample : answer.samples) {
     if (asked.parts.empty()) break;
     sampled_shares_.Record(asked.parts.front().hash, sample.tokens, sample.total, now);
   }
@@ -125,7 +125,7 @@
   backend->hold_until = now + report.hold;
   if (!report.reachable) backend->needs_probe = true;
   if (report.weights != WeightsNumber()) {
-    BackendDirectory::NoteWeights(*backend, question.model, report.weights);
+    BackendDirectory::RecordWeights(*backend, question.model, report.weights);
   }
 }
 
@@ -143,16 +143,17 @@
       std::max(Duration::zero(), std::chrono::duration_cast<Duration>(backend.hold_until - now));
   const auto weights = backend.weights.find(question.model);
   if (weights != backend.weights.end()) report.weights = weights->second;
-  report.held = backend.cache.Find(question.parts, placement_weights_.prefill_delay, now);
+  report.prefix_match = backend.cache.Find(question.parts, placement_weights_.prefill_delay, now);
   report.link_wait = links_.QueueDelay(LinkOf(backend.entry.address), now);
   report.reachable = backend.reachable;
   return report;
 }
 
-StoreReport GatewayState::ReportOn(const AskedStore& store, const LoadQuestion& question,
+StoreReport GatewayState::ReportOn(const StoreQuery& store, const LoadQuestion& question,
                                    TimePoint now) {
   const std::vector<SharedPart> parts = StoredParts(question.parts, question.weights);
-  return {store.link, kept_[store.link].Find(parts, placement_weights_.prefill_delay, now).readable,
+  return {store.link,
+          kept_[store.link].Find(parts, placement_weights_.prefill_delay, now).prefilled,
           links_.QueueDelay(store.link, now)};
 }
 
@@ -181,7 +182,7 @@
 void GatewayState::NoteWeights(Backend& backend, const ModelId& model, WeightsNumber number) {
   const auto known = backend.weights.find(model);
   if (known != backend.weights.end() && known->second >= number) return;
-  BackendDirectory::NoteWeights(backend, model, number);
+  BackendDirectory::RecordWeights(backend, model, number);
   news_.weights.push_back({HashOf(backend), model, number});
   NoteLoadChange();
 }
--- a/libs/gateway/src/placement.cc
+++ b/libs/gateway/src/placement.cc
@@ -13,7 +13,7 @@
 namespace {
 
 // A backend server that was just tried without success is chosen last.
-constexpr double kAvoided = 5'000;
+constexpr double kAvoidPenalty = 5'000;
 
 std::uint64_t Hash(std::uint64_t seed, std::uint64_t value) {
   return XXH3_64bits_withSeed(&value, sizeof value, seed);
@@ -25,13 +25,13 @@
 class Chooser {
  public:
   Chooser(const PlacementQuery& query, std::span<const BackendPtr> candidates,
-          const PlacementWeights& weights)
-      : query_(query), candidates_(candidates), weights_(weights) {
+          const PlacementCosts& costs)
+      : query_(query), candidates_(candidates), costs_(costs) {
     for (const BackendPtr& candidate : candidates_) {
       id_hashes_.push_back(HashOf(candidate->entry.id));
     }
     if (query_.chain == nullptr) return;
-    RankHolders();
+    RankHomes();
     FindSources();
   }
 
@@ -40,7 +40,7 @@
     best.cost = std::numeric_limits<double>::max();
     std::uint64_t best_tie = 0;
     for (std::size_t i = 0; i < candidates_.size(); ++i) {
-      Placement placement = Price(i);
+      Placement placement = Evaluate(i);
       const std::uint64_t tie = Hash(query_.tie_break, id_hashes_[i]);
       if (placement.cost > best.cost) continue;
       if (placement.cost == best.cost && tie <= best_tie) continue;
@@ -52,7 +52,7 @@
 
  private:
   /// What is known or guessed of a candidate's cache.
-  struct Holding {
+  struct CacheEstimate {
     std::uint32_t known_tokens = 0;      ///< of the chain, brought by earlier requests
     std::uint32_t fetchable_tokens = 0;  ///< of those, what has been read by now
     bool doubtful = false;               ///< some may have been evicted
@@ -66,29 +66,30 @@
     double link_wait = 0;  ///< ms
   };
 
-  Placement Price(std::size_t index) const {
+  Placement Evaluate(std::size_t index) const {
     const Backend& backend = *candidates_[index];
     Placement placement;
     placement.index = index;
-    placement.cost = backend.error_rate * weights_.error_penalty;
-    if (backend.entry.zone != query_.own_zone) placement.cost += weights_.other_zone;
-    if (IsAvoided(backend, query_.now) || !backend.reachable) placement.cost += kAvoided;
-    if (backend.grace_until) placement.cost += kAvoided / 2;
-    if (backend.hold_until > query_.now) placement.cost += weights_.hold_penalty;
+    placement.cost = backend.error_rate * costs_.error_penalty;
+    if (backend.entry.zone != query_.own_zone) placement.cost += costs_.other_zone;
+    if (IsAvoided(backend, query_.now) || !backend.reachable) placement.cost += kAvoidPenalty;
+    if (backend.grace_until) placement.cost += kAvoidPenalty / 2;
+    if (backend.hold_until > query_.now) placement.cost += costs_.hold_penalty;
     if (query_.answers != nullptr && ReportOn(backend) == nullptr) {
-      placement.cost += weights_.no_report_penalty;
+      placement.cost += costs_.no_report_penalty;
     }
     if (query_.chain == nullptr) {
       placement.cost +=
-          weights_.per_running_call * Together(backend.in_flight, backend.peers.running);
+          costs_.per_running_call * FleetTotal(backend.in_flight, backend.peers.running);
       return placement;
     }
-    PriceCache(index, placement);
-    placement.queued_tokens = Together(backend.unprefilled_tokens, backend.peers.unread_tokens);
-    placement.ahead = placement.queued_tokens / TokensPerMs();
-    placement.wait = std::max(placement.ahead, FetchTime(placement)) + OwnReading(placement);
-    placement.cost += placement.wait + PriceOfRunning(backend);
-    placement.cost += PriceOfWeights(backend);
+    EvaluateCache(index, placement);
+    placement.queued_tokens = FleetTotal(backend.unprefilled_tokens, backend.peers.unread_tokens);
+    placement.queue_ms = placement.queued_tokens / TokensPerMs();
+    placement.first_event_ms =
+        std::max(placement.queue_ms, FetchTime(placement)) + OwnPrefillTime(placement);
+    placement.cost += placement.first_event_ms + RunningCost(backend);
+    placement.cost += OlderWeightsCost(backend);
     return placement;
   }
 
@@ -98,22 +99,22 @@
   }
 
   /// Fills in what will be found in the cache and what fetching costs.
-  void PriceCache(std::size_t index, Placement& placement) const {
+  void EvaluateCache(std::size_t index, Placement& placement) const {
     const std::uint32_t shared = query_.chain->shared_tokens;
-    placement.known_tokens = holdings_[index].known_tokens;
+    placement.known_tokens = cache_estimates_[index].known_tokens;
     placement.cached_tokens = placement.known_tokens;
     if (shared < kMinFetchTokens) return;
-    placement.may_lack_parts = holdings_[index].doubtful;
+    placement.may_lack_parts = cache_estimates_[index].doubtful;
     if (placement.cached_tokens >= shared) return;
     placement.lacks_parts = true;
     placement.source = BestSource(index);
     if (placement.source) placement.cached_tokens = placement.source->tokens;
-    if (index != home_) placement.cost += weights_.copy_token * MissingAt(index);
+    if (index != home_) placement.cost += costs_.copy_token * MissingAt(index);
   }
 
   /// Shared tokens that the candidate has not got yet.
   std::uint32_t MissingAt(std::size_t index) const {
-    return query_.chain->shared_tokens - holdings_[index].known_tokens;
+    return query_.chain->shared_tokens - cache_estimates_[index].known_tokens;
   }
 
   /// Where the candidate gets parts that it lacks soonest; nothing where reading
@@ -123,29 +124,30 @@
     for (const EngineSource& engine : engine_sources_) {
       if (!MayFetch(index, engine.index)) continue;
       const CacheSource source = FromEngine(index, engine);
-      if (!best || SavedBy(index, source) > SavedBy(index, *best)) best = source;
+      if (!best || SavedMs(index, source) > SavedMs(index, *best)) best = source;
     }
-    if (best && SavedBy(index, *best) <= 0) best.reset();
+    if (best && SavedMs(index, *best) <= 0) best.reset();
     return best;
   }
 
   /// What the source saves in milliseconds.
-  double SavedBy(std::size_t index, const CacheSource& source) const {
-    const std::uint32_t tokens = source.tokens - holdings_[index].known_tokens;
-    return weights_.reprefill_factor * tokens / TokensPerMs() - source.ms;
+  double SavedMs(std::size_t index, const CacheSource& source) const {
+    const std::uint32_t tokens = source.tokens - cache_estimates_[index].known_tokens;
+    return costs_.reprefill_factor * tokens / TokensPerMs() - source.ms;
   }
 
   bool MayFetch(std::size_t to, std::size_t from) const {
-    return from != to && holdings_[from].fetchable_tokens > holdings_[to].known_tokens &&
+    return from != to &&
+           cache_estimates_[from].fetchable_tokens > cache_estimates_[to].known_tokens &&
            WeightsOf(*candidates_[from]) == WeightsOf(*candidates_[to]);
   }
 
   CacheSource FromEngine(std::size_t to, const EngineSource& engine) const {
     const double token_ms =
-        query_.engine_ms_per_token > 0 ? query_.engine_ms_per_token : weights_.fetch_token;
+        query_.engine_ms_per_token > 0 ? query_.engine_ms_per_token : costs_.fetch_token;
     CacheSource source =
         SourceAt(to, candidates_[engine.index]->entry.zone,
-                 holdings_[engine.index].fetchable_tokens, token_ms, weights_.fetch_call);
+                 cache_estimates_[engine.index].fetchable_tokens, token_ms, costs_.fetch_call);
     source.engine = engine.index;
     source.ms += engine.link_wait;
     return source;
@@ -154,10 +156,10 @@
   std::optional<CacheSource> FromStore(std::size_t to) const {
     if (!query_.store) return std::nullopt;
     const std::uint32_t tokens = store_tokens_.at(WeightsOf(*candidates_[to]));
-    if (tokens <= holdings_[to].known_tokens) return std::nullopt;
+    if (tokens <= cache_estimates_[to].known_tokens) return std::nullopt;
     const double token_ms =
-        query_.store->ms_per_token > 0 ? query_.store->ms_per_token : weights_.store_token;
-    CacheSource source = SourceAt(to, query_.store->zone, tokens, token_ms, weights_.store_call);
+        query_.store->ms_per_token > 0 ? query_.store->ms_per_token : costs_.store_token;
+    CacheSource source = SourceAt(to, query_.store->zone, tokens, token_ms, costs_.store_call);
     source.ms += store_wait_;
     return source;
   }
@@ -168,7 +170,7 @@
     const double distance = candidates_[to]->entry.zone == zone ? 1 : 2;
     CacheSource source;
     source.tokens = tokens;
-    source.link_ms = distance * token_ms * (tokens - holdings_[to].known_tokens);
+    source.link_ms = distance * token_ms * (tokens - cache_estimates_[to].known_tokens);
     source.ms = source.link_ms + distance * call_ms;
     return source;
   }
@@ -177,20 +179,20 @@
   /// that parts may be fetched from, what the store keeps, and their links.
   void FindSources() {
     if (query_.chain->shared_tokens < kMinFetchTokens) return;
-    if (query_.store) LookIntoStore();
-    if (query_.store && !weights_.engines_as_sources) return;
+    if (query_.store) InspectStore();
+    if (query_.store && !costs_.engines_as_sources) return;
     for (std::size_t i = 0; i < candidates_.size(); ++i) {
       const Backend& backend = *candidates_[i];
       const bool usable = !IsAvoided(backend, query_.now) && backend.reachable &&
-                          !backend.grace_until && !holdings_[i].doubtful &&
-                          holdings_[i].fetchable_tokens > 0;
+                          !backend.grace_until && !cache_estimates_[i].doubtful &&
+                          cache_estimates_[i].fetchable_tokens > 0;
       if (usable) engine_sources_.push_back({i, EngineLinkWait(backend)});
     }
   }
 
-  void LookIntoStore() {
+  void InspectStore() {
     store_wait_ = LinkWait(query_.store->link);
-    if (const StoreReport* report = StoreAnswer()) {
+    if (const StoreReport* report = StoreReportOrNull()) {
       store_wait_ = std::max(store_wait_, LinkWait(report->link_wait));
     }
     for (const BackendPtr& candidate : candidates_) {
@@ -199,20 +201,22 @@
     }
   }
 
-  const StoreReport* StoreAnswer() const {
+  const StoreReport* StoreReportOrNull() const {
     return query_.answers != nullptr && query_.answers->store ? &*query_.answers->store : nullptr;
   }
 
   std::uint32_t TokensInStore(WeightsNumber weights) const {
     if (query_.answers != nullptr) {
       // It was asked about the newest weights only.
-      const bool answered = StoreAnswer() != nullptr && weights == query_.newest_weights;
-      return answered ? std::min(StoreAnswer()->readable_tokens, query_.chain->shared_tokens) : 0;
+      const bool answered = StoreReportOrNull() != nullptr && weights == query_.newest_weights;
+      return answered ? std::min(StoreReportOrNull()->readable_tokens, query_.chain->shared_tokens)
+                      : 0;
     }
     // While another engine reads the parts nobody has them to fetch from.
-    if (query_.store->kept == nullptr) return being_read_ ? 0 : query_.chain->shared_tokens;
+    if (query_.store->contents == nullptr)
+      return prefill_in_progress_ ? 0 : query_.chain->shared_tokens;
     const std::vector<SharedPart> parts = StoredParts(query_.chain->parts, weights);
-    return query_.store->kept->Find(parts, weights_.prefill_delay, query_.now).readable;
+    return query_.store->contents->Find(parts, costs_.prefill_delay, query_.now).prefilled;
   }
 
   double EngineLinkWait(const Backend& backend) const {
@@ -226,15 +230,15 @@
   }
 
   double LinkWait(Duration wait) const {
-    if (!weights_.watch_links) return 0;
+    if (!costs_.watch_links) return 0;
     return std::chrono::duration<double, std::milli>(wait).count();
   }
 
   double TokensPerMs() const {
-    return query_.tokens_per_ms > 0 ? query_.tokens_per_ms : weights_.prefill_tokens_per_ms;
+    return query_.tokens_per_ms > 0 ? query_.tokens_per_ms : costs_.prefill_tokens_per_ms;
   }
 
-  double OwnReading(const Placement& placement) const {
+  double OwnPrefillTime(const Placement& placement) const {
     const std::uint32_t prompt = query_.chain->prompt_tokens;
     return (prompt - std::min(placement.cached_tokens, prompt)) / TokensPerMs();
   }
@@ -243,20 +247,20 @@
     return placement.source ? placement.source->ms : 0;
   }
 
-  double PriceOfRunning(const Backend& backend) const {
-    return weights_.per_running_request * Together(backend.in_flight, backend.peers.running);
+  double RunningCost(const Backend& backend) const {
+    return costs_.per_running_request * FleetTotal(backend.in_flight, backend.peers.running);
   }
 
   /// All gateways' work, where those that are not heard do as this one does.
-  double Together(double own, double peers) const {
+  double FleetTotal(double own, double peers) const {
     return own * (1 + query_.unheard_gateway_ratio) + peers;
   }
 
-  double PriceOfWeights(const Backend& backend) const {
+  double OlderWeightsCost(const Backend& backend) const {
     if (IsNewest(backend)) return 0;
-    const bool news =
-        query_.newest_since && query_.now - *query_.newest_since < weights_.older_weights_free;
-    return news ? 0 : weights_.older_weights;
+    const bool recently_ordered =
+        query_.newest_since && query_.now - *query_.newest_since < costs_.older_weights_free;
+    return recently_ordered ? 0 : costs_.older_weights;
   }
 
   WeightsNumber WeightsOf(const Backend& backend) const {
@@ -266,18 +270,19 @@
 
   /// Rendezvous hashing within the segment of the prompt's beginning: without
   /// asking, all gateways rank the candidates alike; the first is their home.
-  void RankHolders() {
-    holdings_.resize(candidates_.size());
+  void RankHomes() {
+    cache_estimates_.resize(candidates_.size());
     if (query_.chain->parts.empty()) return;
     const std::uint64_t subject = query_.chain->parts.back().hash;
     MarkSegment();
     for (std::size_t i = 0; i < candidates_.size(); ++i) {
-      TakeKnown(*candidates_[i], holdings_[i]);
-      holdings_[i].rank = Hash(subject, id_hashes_[i]);
-      const bool better = home_ == kNone || Before(i, home_);
+      EstimateCache(*candidates_[i], cache_estimates_[i]);
+      cache_estimates_[i].rank = Hash(subject, id_hashes_[i]);
+      const bool better = home_ == kNone || RanksBefore(i, home_);
       if (better) home_ = i;
-      const bool reads = holdings_[i].known_tokens > holdings_[i].fetchable_tokens;
-      being_read_ = being_read_ || (reads && IsNewest(*candidates_[i]));
+      const bool prefilling =
+          cache_estimates_[i].known_tokens > cache_estimates_[i].fetchable_tokens;
+      prefill_in_progress_ = prefill_in_progress_ || (prefilling && IsNewest(*candidates_[i]));
     }
   }
 
@@ -292,7 +297,8 @@
     const auto first = static_cast<std::size_t>(query_.segment.begin * count);
     const double end = std::ceil((query_.segment.begin + query_.segment.length) * count);
     const std::size_t last = std::max(first + 1, static_cast<std::size_t>(end));
-    for (std::size_t i = first; i < last; ++i) holdings_[order[i % order.size()]].in_segment = true;
+    for (std::size_t i = first; i < last; ++i)
+      cache_estimates_[order[i % order.size()]].in_segment = true;
   }
 
   bool IsNewest(const Backend& backend) const {
@@ -302,47 +308,49 @@
   /// Engines with newer weights come first: the others lose their cache soon. Not
   /// where a few of many are asked about (HomesOf): all prompts would have their
   /// homes among the first engines that load.
-  bool Before(std::size_t a, std::size_t b) const {
+  bool RanksBefore(std::size_t a, std::size_t b) const {
     const WeightsNumber of_a = WeightsOf(*candidates_[a]);
     const WeightsNumber of_b = WeightsOf(*candidates_[b]);
     if (query_.answers == nullptr && of_a != of_b) return of_a > of_b;
-    if (holdings_[a].in_segment != holdings_[b].in_segment) return holdings_[a].in_segment;
-    return holdings_[a].rank > holdings_[b].rank;
+    if (cache_estimates_[a].in_segment != cache_estimates_[b].in_segment)
+      return cache_estimates_[a].in_segment;
+    return cache_estimates_[a].rank > cache_estimates_[b].rank;
   }
 
   /// Fills in which of the chain's parts the backend server has.
-  void TakeKnown(const Backend& backend, Holding& holding) const {
-    const auto found = Held(backend);
-    holding.known_tokens = found.tokens;
-    holding.fetchable_tokens = found.readable;
-    const double safe =
-        (1 - weights_.eviction_risk_fraction) * static_cast<double>(query_.cache_tokens);
-    holding.doubtful = static_cast<double>(found.used_since) >= safe;
+  void EstimateCache(const Backend& backend, CacheEstimate& estimate) const {
+    const auto match = MatchOn(backend);
+    estimate.known_tokens = match.tokens;
+    estimate.fetchable_tokens = match.prefilled;
+    const double safe_tokens =
+        (1 - costs_.eviction_risk_fraction) * static_cast<double>(query_.cache_tokens);
+    estimate.doubtful = static_cast<double>(match.used_since) >= safe_tokens;
   }
 
-  EngineCache::Holding Held(const Backend& backend) const {
+  EngineCache::PrefixMatch MatchOn(const Backend& backend) const {
     if (query_.answers == nullptr) {
-      return backend.cache.Find(query_.chain->parts, weights_.prefill_delay, query_.now);
+      return backend.cache.Find(query_.chain->parts, costs_.prefill_delay, query_.now);
     }
     const BackendReport* report = ReportOn(backend);
-    EngineCache::Holding held = report != nullptr ? report->held : EngineCache::Holding();
+    EngineCache::PrefixMatch match =
+        report != nullptr ? report->prefix_match : EngineCache::PrefixMatch();
     // The engine may have loaded other weights since.
-    if (held.tokens > query_.chain->shared_tokens) held = {};
-    return held;
+    if (match.tokens > query_.chain->shared_tokens) match = {};
+    return match;
   }
 
   static constexpr std::size_t kNone = std::numeric_limits<std::size_t>::max();
 
   const PlacementQuery& query_;
   std::span<const BackendPtr> candidates_;
-  const PlacementWeights& weights_;
+  const PlacementCosts& costs_;
   std::vector<std::uint64_t> id_hashes_;  ///< by candidate
-  std::vector<Holding> holdings_;
+  std::vector<CacheEstimate> cache_estimates_;
   std::vector<EngineSource> engine_sources_;
   std::map<WeightsNumber, std::uint32_t> store_tokens_;  ///< of the chain, by weights
   double store_wait_ = 0;                                ///< ms
   std::size_t home_ = kNone;
-  bool being_read_ = false;  ///< an engine on the newest weights reads the parts now
+  bool prefill_in_progress_ = false;  ///< an engine on the newest weights reads the parts now
 };
 
 }  // namespace
@@ -373,8 +381,8 @@
 }
 
 Placement ChooseBackend(const PlacementQuery& query, std::span<const BackendPtr> candidates,
-                        const PlacementWeights& weights) {
-  return Chooser(query, candidates, weights).Choose();
+                        const PlacementCosts& costs) {
+  return Chooser(query, candidates, costs).Choose();
 }
 
 }  // namespace ridgehold
--- a/libs/gateway/src/polled_choice.cc
+++ b/libs/gateway/src/polled_choice.cc
@@ -10,7 +10,7 @@
 // With more than this before the best of the first ones, further ones are asked
 // about: an engine reads a long prompt and a half in it, and objectives are 400 ms
 // and more.
-constexpr double kBusyAheadMs = 100;
+constexpr double kBusyQueueMs = 100;
 // The same for plain calls, as cost: two running calls and the way to another zone.
 constexpr double kBusyCallCost = 50;
 
@@ -19,7 +19,7 @@
   ShortlistQuery query;
   query.own_zone = state.zone();
   query.gateway = state.gateway_hash();
-  query.draw = state.gateway_hash() + state.NextSequence();
+  query.random_seed = state.gateway_hash() + state.NextSequence();
   query.now = now;
   if (!request.generation) return query;
   query.chain = &*plan.chain;
@@ -31,8 +31,8 @@
   return query;
 }
 
-LoadQuestion QuestionAbout(const ShortlistQuery& query, const ExchangePlan& plan,
-                           std::vector<BackendPtr> backends) {
+LoadQuestion MakeLoadQuestion(const ShortlistQuery& query, const ExchangePlan& plan,
+                              std::vector<BackendPtr> backends) {
   LoadQuestion question;
   question.backends = std::move(backends);
   if (query.chain == nullptr) return question;
@@ -41,42 +41,42 @@
   if (query.chain->shared_tokens < kMinFetchTokens) return question;
   question.parts = query.chain->parts;
   if (const KvCacheStore* store = KvStoreForPrompt(plan)) {
-    question.store = AskedStore{LinkOf(store->address), store->zone};
+    question.store = StoreQuery{LinkOf(store->address), store->zone};
   }
   return question;
 }
 
 bool IsBusy(const BackendChoice& choice, bool plain_call) {
-  return plain_call ? choice.expected_ms > kBusyCallCost : choice.queue_ms > kBusyAheadMs;
+  return plain_call ? choice.expected_ms > kBusyCallCost : choice.queue_ms > kBusyQueueMs;
 }
 
 /// One request's choice.
-class Asking {
+class CandidatePoll {
  public:
-  Asking(GatewayState& state, const ExchangePlan& plan, const InboundRequest& request,
-         std::vector<BackendPtr> candidates)
+  CandidatePoll(GatewayState& state, const ExchangePlan& plan, const InboundRequest& request,
+                std::vector<BackendPtr> candidates)
       : state_(state),
         plan_(plan),
         request_(request),
         candidates_(std::move(candidates)),
         query_(QueryFor(state, plan, request, Clock::now())) {
-    if (SharesMuch()) home_ = HomeOfPrompt();
+    if (HasLongPrefix()) home_ = HomeOfPrompt();
   }
 
   net::awaitable<void> Run() {
     std::vector<BackendPtr> first = Shortlist(query_, candidates_);
-    co_await AskAbout(std::move(first), true);
-    std::vector<BackendPtr> further = Further();
-    if (!further.empty()) co_await AskAbout(std::move(further), false);
+    co_await Poll(std::move(first), true);
+    std::vector<BackendPtr> follow_up = FollowUpCandidates();
+    if (!follow_up.empty()) co_await Poll(std::move(follow_up), false);
     if (choice_) choice_->home = home_;
   }
 
   std::optional<BackendChoice>& choice() { return choice_; }
-  std::uint32_t asked() const { return static_cast<std::uint32_t>(listed_.size()); }
+  std::uint32_t asked() const { return static_cast<std::uint32_t>(polled_.size()); }
   std::uint32_t answered() const { return static_cast<std::uint32_t>(answer_.backends.size()); }
 
  private:
-  bool SharesMuch() const {
+  bool HasLongPrefix() const {
     return query_.chain != nullptr && query_.chain->shared_tokens >= kMinFetchTokens;
   }
 
@@ -88,41 +88,41 @@
   }
 
   /// Asks about `backends` and chooses among all that were asked about so far.
-  net::awaitable<void> AskAbout(std::vector<BackendPtr> backends, bool first) {
-    listed_.insert(listed_.end(), backends.begin(), backends.end());
-    LoadQuestion question = QuestionAbout(query_, plan_, std::move(backends));
+  net::awaitable<void> Poll(std::vector<BackendPtr> backends, bool first) {
+    polled_.insert(polled_.end(), backends.begin(), backends.end());
+    LoadQuestion question = MakeLoadQuestion(query_, plan_, std::move(backends));
     if (first) question.home = home_;
     if (!first) question.store.reset();
     LoadAnswer answer = co_await state_.AskLoads(std::move(question));
     answer_.backends.merge(std::move(answer.backends));
     if (first) answer_.store = answer.store;
     if (first) answer_.holders = std::move(answer.holders);
-    choice_ = ChooseAmong(state_, plan_, request_, listed_, &answer_, Clock::now());
+    choice_ = ChooseAmong(state_, plan_, request_, polled_, &answer_, Clock::now());
   }
 
   /// Who else is worth a question: engines that have what the chosen one lacks,
   /// and any others if all so far are busy.
-  std::vector<BackendPtr> Further() const {
-    std::vector<BackendPtr> further;
-    const bool lacks =
-        SharesMuch() && choice_->known_tokens + kMinFetchTokens < query_.chain->shared_tokens;
+  std::vector<BackendPtr> FollowUpCandidates() const {
+    std::vector<BackendPtr> follow_up;
+    const bool lacks_prefix =
+        HasLongPrefix() && choice_->known_tokens + kMinFetchTokens < query_.chain->shared_tokens;
     for (const BackendHash hash : answer_.holders) {
       const BackendPtr holder = state_.directory().FindByHash(hash);
-      if (lacks && IsCandidate(holder) && !IsListed(holder)) further.push_back(holder);
+      if (lacks_prefix && IsCandidate(holder) && !IsPolled(holder)) follow_up.push_back(holder);
     }
-    if (!IsBusy(*choice_, query_.chain == nullptr)) return further;
-    std::vector<BackendPtr> listed = listed_;
-    listed.insert(listed.end(), further.begin(), further.end());
-    const std::vector<BackendPtr> more = ExtendShortlist(query_, candidates_, listed);
-    further.insert(further.end(), more.begin(), more.end());
-    return further;
+    if (!IsBusy(*choice_, query_.chain == nullptr)) return follow_up;
+    std::vector<BackendPtr> polled = polled_;
+    polled.insert(polled.end(), follow_up.begin(), follow_up.end());
+    const std::vector<BackendPtr> extension = ExtendShortlist(query_, candidates_, polled);
+    follow_up.insert(follow_up.end(), extension.begin(), extension.end());
+    return follow_up;
   }
 
   bool IsCandidate(const BackendPtr& backend) const {
     return std::ranges::find(candidates_, backend) != candidates_.end();
   }
-  bool IsListed(const BackendPtr& backend) const {
-    return std::ranges::find(listed_, backend) != listed_.end();
+  bool IsPolled(const BackendPtr& backend) const {
+    return std::ranges::find(polled_, backend) != polled_.end();
   }
 
   GatewayState& state_;
@@ -131,7 +131,7 @@
   std::vector<BackendPtr> candidates_;
   ShortlistQuery query_;
   BackendPtr home_;
-  std::vector<BackendPtr> listed_;  ///< asked about
+  std::vector<BackendPtr> polled_;  ///< asked about
   LoadAnswer answer_;
   std::optional<BackendChoice> choice_;
 };
@@ -142,15 +142,15 @@
                                            const InboundRequest& request,
                                            const std::set<BackendId>& tried) {
   PolledChoice result;
-  const TimePoint began = Clock::now();
-  std::vector<BackendPtr> candidates = CandidatesFor(state, plan, request, tried, began);
+  const TimePoint start = Clock::now();
+  std::vector<BackendPtr> candidates = CandidatesFor(state, plan, request, tried, start);
   if (candidates.empty()) co_return result;
-  Asking asking(state, plan, request, std::move(candidates));
-  co_await asking.Run();
-  result.choice = std::move(asking.choice());
-  result.asking.asked = asking.asked();
-  result.asking.answered = asking.answered();
-  result.asking.took = std::chrono::duration_cast<Duration>(Clock::now() - began);
+  CandidatePoll candidate_poll(state, plan, request, std::move(candidates));
+  co_await candidate_poll.Run();
+  result.choice = std::move(candidate_poll.choice());
+  result.poll.asked = candidate_poll.asked();
+  result.poll.answered = candidate_poll.answered();
+  result.poll.took = std::chrono::duration_cast<Duration>(Clock::now() - start);
   co_return result;
 }
 
--- a/libs/gateway/src/request_log.cc
+++ b/libs/gateway/src/request_log.cc
@@ -77,7 +77,7 @@
   fields.push_back({"quota", verdict});
   fields.push_back({"quota_tokens", std::to_string(record.quota_tokens)});
   fields.push_back({"quota_holder", record.quota->ticket.holder});
-  fields.push_back({"quota_ms", MillisecondsText(record.quota_took)});
+  fields.push_back({"quota_ms", MillisecondsText(record.quota_latency)});
   fields.push_back({"quota_asked", std::to_string(record.quota->asked)});
   if (record.quota->retry_after == Duration::zero()) return;
   fields.push_back({"quota_fits_in_ms", MillisecondsText(record.quota->retry_after)});
@@ -97,7 +97,7 @@
   if (late) state.metrics().GetCounter("ridgehold_begun_on_weights_past_limit").Add();
 }
 
-void AppendAsked(const RequestRecord& record, LogFields& fields) {
+void AppendNotice(const RequestRecord& record, LogFields& fields) {
   if (record.permits_refused > 0) {
     fields.push_back({"permits_refused", std::to_string(record.permits_refused)});
   }
@@ -107,13 +107,13 @@
     if (record.permit.ticket) fields.push_back({"permit_from", record.permit.ticket->holder});
   }
   if (!record.backend_notice) return;
-  const NoticeRecord& asked = *record.backend_notice;
-  if (asked.limit) fields.push_back({"limit", fmt::format("{:.3f}", asked.limit->per_second())});
-  if (asked.leaving) fields.push_back({"leaving", "yes"});
-  if (asked.rest_left > Duration::zero()) {
-    fields.push_back({"rest_left_ms", MillisecondsText(asked.rest_left)});
+  const NoticeRecord& notice = *record.backend_notice;
+  if (notice.limit) fields.push_back({"limit", fmt::format("{:.3f}", notice.limit->per_second())});
+  if (notice.leaving) fields.push_back({"leaving", "yes"});
+  if (notice.rest_left > Duration::zero()) {
+    fields.push_back({"rest_left_ms", MillisecondsText(notice.rest_left)});
   }
-  fields.push_back({"notice_age_ms", MillisecondsText(asked.age)});
+  fields.push_back({"notice_age_ms", MillisecondsText(notice.age)});
 }
 
 }  // namespace
@@ -121,10 +121,10 @@
 std::optional<NoticeRecord> NoticeRecordOf(const Backend& backend, TimePoint now) {
   const BackendWord& word = backend.notice_state;
   const auto rest = std::chrono::duration_cast<Duration>(word.rest_until() - now);
-  const NoticeRecord asked{word.limit(), word.leaving(), std::max(Duration::zero(), rest),
-                           std::chrono::duration_cast<Duration>(now - word.heard_at())};
-  const bool nothing = !asked.limit && !asked.leaving && asked.rest_left == Duration::zero();
-  return nothing ? std::nullopt : std::optional(asked);
+  const NoticeRecord notice{word.limit(), word.leaving(), std::max(Duration::zero(), rest),
+                            std::chrono::duration_cast<Duration>(now - word.heard_at())};
+  const bool nothing = !notice.limit && !notice.leaving && notice.rest_left == Duration::zero();
+  return nothing ? std::nullopt : std::optional(notice);
 }
 
 void LogRequest(GatewayState& state, const RequestRecord& record) {
@@ -149,17 +149,17 @@
                       {"workspace", record.workspace.value()},
                       {"fingerprint", ToText(record.fingerprint)},
                       {"expected_ms", std::to_string(std::lround(record.expected_ms))},
-                      {"wait_ms", std::to_string(std::lround(record.wait_ms))},
+                      {"wait_ms", std::to_string(std::lround(record.first_event_ms))},
                       {"to_read", std::to_string(std::lround(record.tokens_to_read))},
-                      {"running_there", std::to_string(record.running_there)},
+                      {"running_there", std::to_string(record.running_at_backend)},
                       {"config", ConfigVersionOf(state)},
                       {"config_age_ms", MillisecondsText(now - state.confirmed_at())}};
-  if (record.asking.asked > 0) {
-    fields.push_back({"asked", std::to_string(record.asking.asked)});
-    fields.push_back({"answered", std::to_string(record.asking.answered)});
-    fields.push_back({"asking_ms", MillisecondsText(record.asking.took)});
+  if (record.poll.asked > 0) {
+    fields.push_back({"asked", std::to_string(record.poll.asked)});
+    fields.push_back({"answered", std::to_string(record.poll.answered)});
+    fields.push_back({"asking_ms", MillisecondsText(record.poll.took)});
     metrics.GetSummary("ridgehold_asking_seconds")
-        .Observe(std::chrono::duration<double>(record.asking.took).count());
+        .Observe(std::chrono::duration<double>(record.poll.took).count());
   }
   if (record.first_event) {
     fields.push_back({"first_event_ms", MillisecondsText(*record.first_event - record.received)});
@@ -177,8 +177,8 @@
   if (record.quota) AppendQuota(metrics, record, fields);
   if (!record.fetched_from.empty()) fields.push_back({"fetch", record.fetched_from});
   if (record.older_weights) AppendOlderWeights(state, *record.older_weights, fields);
-  AppendAsked(record, fields);
-  if (record.out_of_retries) fields.push_back({"retry_budget", "spent"});
+  AppendNotice(record, fields);
+  if (record.retry_budget_exhausted) fields.push_back({"retry_budget", "spent"});
   if (!record.detail.empty()) fields.push_back({"detail", record.detail});
   Log(LogLevel::kInfo, "request", fields);
 }
@@ -200,7 +200,7 @@
                       {"code", std::string(Describe(code).name)},
                       {"in_flight", std::to_string(backend.in_flight)},
                       {"next", std::string(NameOf(step))}};
-  AppendAsked(record, fields);
+  AppendNotice(record, fields);
   Log(LogLevel::kWarn, "attempt", fields);
 }
 
--- a/libs/gateway/src/routing_snapshot.cc
+++ b/libs/gateway/src/routing_snapshot.cc
@@ -46,7 +46,7 @@
     if (!added) {
       return Fail(ResultCode::kInvalidCommand, "two routes for " + route.host + route.path_prefix);
     }
-    NoteObjective(route);
+    IndexObjective(route);
   }
   return {};
 }
@@ -78,7 +78,7 @@
   return found == shortest_objectives_.end() ? std::chrono::milliseconds(0) : found->second;
 }
 
-void RoutingSnapshot::NoteObjective(const RouteRule& route) {
+void RoutingSnapshot::IndexObjective(const RouteRule& route) {
   if (route.kind != RouteKind::kStream || route.latency_objective.count() <= 0) return;
   for (const WeightedTarget& target : route.targets) {
     std::chrono::milliseconds& shortest =
--- a/libs/gateway/src/sampled_shares.cc
+++ b/libs/gateway/src/sampled_shares.cc
@@ -2,36 +2,36 @@
 
 namespace ridgehold {
 
-void SampledShares::Record(std::uint64_t first, double tokens, double total, TimePoint now) {
+void SampledShares::Record(std::uint64_t first_part, double tokens, double total, TimePoint now) {
   if (total <= 0) return;
-  if (now - halved_ >= kHalfLife) {
-    Halve();
-    halved_ = now;
+  if (now - decayed_at_ >= kHalfLife) {
+    Decay();
+    decayed_at_ = now;
   }
-  Sample& sample = samples_[first];
+  Sample& sample = samples_[first_part];
   sample.tokens += tokens;
   sample.total += total;
 }
 
-RingSegment SampledShares::SegmentOf(std::uint64_t first) const {
-  const auto own = samples_.find(first);
+RingSegment SampledShares::SegmentOf(std::uint64_t first_part) const {
+  const auto own = samples_.find(first_part);
   if (own == samples_.end() || own->second.share() <= 0) return {};
   double before = 0;
   double all = 0;
-  for (const auto& [beginning, sample] : samples_) {
-    if (beginning < first) before += sample.share();
+  for (const auto& [other_part, sample] : samples_) {
+    if (other_part < first_part) before += sample.share();
     all += sample.share();
   }
   return {before / all, own->second.share() / all};
 }
 
-void SampledShares::Halve() {
-  constexpr double kForgotten = 1'000;  // tokens; a prompt of one gateway brings more
-  for (auto& [first, sample] : samples_) {
+void SampledShares::Decay() {
+  constexpr double kMinTokens = 1'000;  // tokens; a prompt of one gateway brings more
+  for (auto& [first_part, sample] : samples_) {
     sample.tokens /= 2;
     sample.total /= 2;
   }
-  std::erase_if(samples_, [](const auto& entry) { return entry.second.total < kForgotten; });
+  std::erase_if(samples_, [](const auto& entry) { return entry.second.total < kMinTokens; });
 }
 
 }  // namespace ridgehold
--- a/libs/gateway/src/shortlist.cc
+++ b/libs/gateway/src/shortlist.cc
@@ -17,11 +17,11 @@
 }
 
 /// Salts, so that ranks for different purposes differ.
-constexpr std::uint64_t kUsualSalt = 0x75737561;
-constexpr std::uint64_t kWidenSalt = 0x77696465;
+constexpr std::uint64_t kSubsetSalt = 0x75737561;
+constexpr std::uint64_t kExtensionSalt = 0x77696465;
 
 /// Whether the segment has the point that a hash stands for.
-bool IsIn(const RingSegment& segment, std::uint64_t hash) {
+bool IsInSegment(const RingSegment& segment, std::uint64_t hash) {
   constexpr double kHashes = 18'446'744'073'709'551'616.0;  // 2^64
   double from_begin = static_cast<double>(hash) / kHashes - segment.begin;
   if (from_begin < 0) from_begin += 1;
@@ -30,7 +30,7 @@
 
 /// The first `count` by rank, the highest first.
 template <class Rank>
-Backends Best(std::span<const BackendPtr> candidates, std::size_t count, Rank&& rank) {
+Backends TopRanked(std::span<const BackendPtr> candidates, std::size_t count, Rank&& rank) {
   using Ranked = std::pair<std::invoke_result_t<Rank, const Backend&>, const BackendPtr*>;
   std::vector<Ranked> ranked;
   ranked.reserve(candidates.size());
@@ -44,10 +44,10 @@
 }
 
 template <class Condition>
-Backends Those(std::span<const BackendPtr> candidates, Condition&& holds) {
+Backends Filter(std::span<const BackendPtr> candidates, Condition&& predicate) {
   Backends chosen;
   for (const BackendPtr& candidate : candidates) {
-    if (holds(*candidate)) chosen.push_back(candidate);
+    if (predicate(*candidate)) chosen.push_back(candidate);
   }
   return chosen;
 }
@@ -56,32 +56,34 @@
   return std::ranges::any_of(list, [&](const BackendPtr& one) { return one.get() == &backend; });
 }
 
-Backends Without(std::span<const BackendPtr> candidates, std::span<const BackendPtr> left_out) {
-  return Those(candidates, [&](const Backend& backend) { return !Contains(left_out, backend); });
+Backends Excluding(std::span<const BackendPtr> candidates, std::span<const BackendPtr> excluded) {
+  return Filter(candidates, [&](const Backend& backend) { return !Contains(excluded, backend); });
 }
 
 void Append(Backends& list, const Backends& more) {
   list.insert(list.end(), more.begin(), more.end());
 }
 
-/// Drawn evenly, another set for each `draw`.
-Backends Drawn(std::uint64_t draw, std::span<const BackendPtr> candidates, std::size_t count) {
-  return Best(candidates, count,
-              [&](const Backend& backend) { return Hash(draw, HashOf(backend.entry.id)); });
+/// Sample evenly, another set for each `draw`.
+Backends Sample(std::uint64_t random_seed, std::span<const BackendPtr> candidates,
+                std::size_t count) {
+  return TopRanked(candidates, count, [&](const Backend& backend) {
+    return Hash(random_seed, HashOf(backend.entry.id));
+  });
 }
 
 /// What nothing known here speaks against; all, if something does everywhere.
-Backends Sound(const ShortlistQuery& query, std::span<const BackendPtr> candidates) {
-  Backends sound = Those(candidates, [&](const Backend& backend) {
+Backends Healthy(const ShortlistQuery& query, std::span<const BackendPtr> candidates) {
+  Backends healthy = Filter(candidates, [&](const Backend& backend) {
     return backend.reachable && !backend.grace_until && !IsAvoided(backend, query.now) &&
            backend.hold_until <= query.now;
   });
-  if (sound.empty()) sound.assign(candidates.begin(), candidates.end());
-  return sound;
+  if (healthy.empty()) healthy.assign(candidates.begin(), candidates.end());
+  return healthy;
 }
 
 Backends OfZone(const ZoneId& zone, std::span<const BackendPtr> candidates) {
-  return Those(candidates, [&](const Backend& backend) { return backend.entry.zone == zone; });
+  return Filter(candidates, [&](const Backend& backend) { return backend.entry.zone == zone; });
 }
 
 bool HasWeights(const Backend& backend, const ModelId& model, WeightsNumber weights) {
@@ -89,36 +91,36 @@
   return found != backend.weights.end() && found->second >= weights;
 }
 
-bool SharesMuch(const ShortlistQuery& query) {
+bool HasLongPrefix(const ShortlistQuery& query) {
   return query.chain != nullptr && query.chain->shared_tokens >= kMinFetchTokens;
 }
 
-Backends ForSharedPrompt(const ShortlistQuery& query, std::span<const BackendPtr> sound,
-                         const ShortlistSizes& sizes) {
-  const Backends loaded = Those(sound, [&](const Backend& backend) {
+Backends ForLongPrefix(const ShortlistQuery& query, std::span<const BackendPtr> healthy,
+                       const ShortlistSizes& sizes) {
+  const Backends loaded = Filter(healthy, [&](const Backend& backend) {
     return !query.newest_weights || HasWeights(backend, query.model, *query.newest_weights);
   });
   // Half of the engines can take all prompts at the usual load, and what is made on
   // older weights is worth less.
-  const bool most_loaded = 2 * loaded.size() >= sound.size();
-  const std::span<const BackendPtr> pool = most_loaded ? std::span(loaded) : sound;
+  const bool half_loaded = 2 * loaded.size() >= healthy.size();
+  const std::span<const BackendPtr> pool = half_loaded ? std::span(loaded) : healthy;
   Backends list = HomesOf(*query.chain, query.segment, pool, sizes.homes);
   // While few have loaded them, the first of those is the next home.
-  if (!most_loaded) Append(list, Without(HomesOf(*query.chain, query.segment, loaded, 1), list));
-  const Backends others = Without(OfZone(query.own_zone, pool), list);
-  Append(list, Drawn(query.draw, others, sizes.random_picks));
+  if (!half_loaded) Append(list, Excluding(HomesOf(*query.chain, query.segment, loaded, 1), list));
+  const Backends others = Excluding(OfZone(query.own_zone, pool), list);
+  Append(list, Sample(query.random_seed, others, sizes.random_picks));
   return list;
 }
 
-Backends ForUsual(const ShortlistQuery& query, std::span<const BackendPtr> sound,
-                  const ShortlistSizes& sizes) {
-  const std::uint64_t seed = Hash(query.gateway, kUsualSalt);
+Backends ForSubset(const ShortlistQuery& query, std::span<const BackendPtr> healthy,
+                   const ShortlistSizes& sizes) {
+  const std::uint64_t seed = Hash(query.gateway, kSubsetSalt);
   const auto rank = [&](const Backend& backend) { return Hash(seed, HashOf(backend.entry.id)); };
-  const Backends subset = Best(OfZone(query.own_zone, sound), sizes.subset_size, rank);
-  Backends list = Drawn(query.draw, subset, sizes.subset_sample);
+  const Backends subset = TopRanked(OfZone(query.own_zone, healthy), sizes.subset_size, rank);
+  Backends list = Sample(query.random_seed, subset, sizes.subset_sample);
   if (list.size() >= sizes.subset_sample) return list;
   // The own zone has few: the same ones of other zones each time.
-  Append(list, Best(Without(sound, list), sizes.subset_sample - list.size(), rank));
+  Append(list, TopRanked(Excluding(healthy, list), sizes.subset_sample - list.size(), rank));
   return list;
 }
 
@@ -129,28 +131,30 @@
   if (chain.parts.empty()) return {};
   const std::uint64_t subject = chain.parts.back().hash;
   // A rare beginning has one engine or two, and not now this, now that one.
-  constexpr double kLeastEngines = 1.5;
-  RingSegment wide = segment;
-  wide.length = std::max(wide.length, kLeastEngines / static_cast<double>(candidates.size() + 1));
-  return Best(candidates, count, [&](const Backend& backend) {
+  constexpr double kMinEngines = 1.5;
+  RingSegment widened = segment;
+  widened.length =
+      std::max(widened.length, kMinEngines / static_cast<double>(candidates.size() + 1));
+  return TopRanked(candidates, count, [&](const Backend& backend) {
     const std::uint64_t hash = HashOf(backend.entry.id);
-    return std::pair(IsIn(wide, hash), Hash(subject, hash));
+    return std::pair(IsInSegment(widened, hash), Hash(subject, hash));
   });
 }
 
 std::vector<BackendPtr> Shortlist(const ShortlistQuery& query,
                                   std::span<const BackendPtr> candidates,
                                   const ShortlistSizes& sizes) {
-  const Backends sound = Sound(query, candidates);
-  return SharesMuch(query) ? ForSharedPrompt(query, sound, sizes) : ForUsual(query, sound, sizes);
+  const Backends healthy = Healthy(query, candidates);
+  return HasLongPrefix(query) ? ForLongPrefix(query, healthy, sizes)
+                              : ForSubset(query, healthy, sizes);
 }
 
 std::vector<BackendPtr> ExtendShortlist(const ShortlistQuery& query,
                                         std::span<const BackendPtr> candidates,
-                                        std::span<const BackendPtr> listed,
+                                        std::span<const BackendPtr> polled,
                                         const ShortlistSizes& sizes) {
-  const Backends others = Without(Sound(query, candidates), listed);
-  return Drawn(Hash(query.draw, kWidenSalt), others, sizes.extension);
+  const Backends others = Excluding(Healthy(query, candidates), polled);
+  return Sample(Hash(query.random_seed, kExtensionSalt), others, sizes.extension);
 }
 
 }  // namespace ridgehold
--- a/libs/gateway/src/transfer_links.cc
+++ b/libs/gateway/src/transfer_links.cc
@@ -9,7 +9,7 @@
 namespace {
 
 // Engines come and go; above so many links the idle ones are forgotten.
-constexpr std::size_t kMostLinks = 10'000;
+constexpr std::size_t kMaxLinks = 10'000;
 
 }  // namespace
 
@@ -21,14 +21,14 @@
   return std::chrono::duration_cast<Duration>(found->second - now);
 }
 
-void TransferLinks::Reserve(LinkHash link, Duration length, TimePoint now) {
-  if (length <= Duration::zero()) return;
-  if (busy_until_.size() >= kMostLinks) {
+void TransferLinks::Reserve(LinkHash link, Duration duration, TimePoint now) {
+  if (duration <= Duration::zero()) return;
+  if (busy_until_.size() >= kMaxLinks) {
     std::erase_if(busy_until_, [&](const auto& entry) { return entry.second <= now; });
   }
   TimePoint& busy_until = busy_until_[link];
-  const TimePoint limit = now + kMaxWait + length;
-  busy_until = std::min(std::max(busy_until, now) + length, limit);
+  const TimePoint limit = now + kMaxWait + duration;
+  busy_until = std::min(std::max(busy_until, now) + duration, limit);
 }
 
 }  // namespace ridgehold
--- a/libs/gateway/src/weights_history.cc
+++ b/libs/gateway/src/weights_history.cc
@@ -6,38 +6,38 @@
 
 bool WeightsHistory::Record(const ModelId& model, WeightsNumber number, TimePoint at,
                             bool assumed) {
-  std::vector<Announcement>& namings = namings_[model];
-  const auto place = std::ranges::lower_bound(namings, number, {}, &Announcement::number);
-  const bool newest = place == namings.end();
+  std::vector<Announcement>& announcements = announcements_[model];
+  const auto place = std::ranges::lower_bound(announcements, number, {}, &Announcement::number);
+  const bool newest = place == announcements.end();
   if (!newest && place->number == number) {
     const bool better = place->assumed ? !assumed || at < place->at : !assumed && at < place->at;
     if (!better) return false;
     *place = {number, at, assumed};
-    Changed();
+    NotifyChanged();
     return false;
   }
-  namings.insert(place, {number, at, assumed});
-  if (namings.size() > kMaxEntries) namings.erase(namings.begin());
-  Changed();
+  announcements.insert(place, {number, at, assumed});
+  if (announcements.size() > kMaxEntries) announcements.erase(announcements.begin());
+  NotifyChanged();
   return newest;
 }
 
 std::optional<WeightsNumber> WeightsHistory::Newest(const ModelId& model) const {
-  const auto found = namings_.find(model);
-  if (found == namings_.end() || found->second.empty()) return std::nullopt;
+  const auto found = announcements_.find(model);
+  if (found == announcements_.end() || found->second.empty()) return std::nullopt;
   return found->second.back().number;
 }
 
 std::optional<TimePoint> WeightsHistory::NewestAnnouncedAt(const ModelId& model) const {
-  const auto found = namings_.find(model);
-  if (found == namings_.end() || found->second.empty()) return std::nullopt;
+  const auto found = announcements_.find(model);
+  if (found == announcements_.end() || found->second.empty()) return std::nullopt;
   return found->second.back().at;
 }
 
 std::optional<WeightsHistory::Announcement> WeightsHistory::SupersededBy(
     const ModelId& model, WeightsNumber number) const {
-  const auto found = namings_.find(model);
-  if (found == namings_.end()) return std::nullopt;
+  const auto found = announcements_.find(model);
+  if (found == announcements_.end()) return std::nullopt;
   // A later number proves that the weights are outdated at its moment too.
   const auto newer = std::ranges::upper_bound(found->second, number, {}, &Announcement::number);
   const auto earliest = std::ranges::min_element(newer, found->second.end(), {}, &Announcement::at);
@@ -46,8 +46,8 @@
 
 std::optional<TimePoint> WeightsHistory::SupersededSince(const ModelId& model,
                                                          WeightsNumber number) const {
-  const auto naming = SupersededBy(model, number);
-  return naming ? std::optional(naming->at) : std::nullopt;
+  const auto announcement = SupersededBy(model, number);
+  return announcement ? std::optional(announcement->at) : std::nullopt;
 }
 
 }  // namespace ridgehold
--- a/libs/gateway/test/backend_directory-test.cc
+++ b/libs/gateway/test/backend_directory-test.cc
@@ -71,13 +71,13 @@
   BackendDirectory directory;
   directory.Put(Entry("b"));
   Backend& backend = *directory.Find(BackendId("b"));
-  BackendDirectory::NoteWeights(backend, kModel, WeightsNumber(2));
+  BackendDirectory::RecordWeights(backend, kModel, WeightsNumber(2));
   const SharedPart part{7, 50};
   backend.cache.Use({&part, 1}, 100, 1'000, kStart);
-  BackendDirectory::NoteWeights(backend, kModel, WeightsNumber(1));
+  BackendDirectory::RecordWeights(backend, kModel, WeightsNumber(1));
   BOOST_TEST((backend.weights[kModel] == WeightsNumber(2)));
   BOOST_TEST(backend.cache.Contains(part.hash));
-  BackendDirectory::NoteWeights(backend, kModel, WeightsNumber(3));
+  BackendDirectory::RecordWeights(backend, kModel, WeightsNumber(3));
   BOOST_TEST(backend.cache.tokens() == 0U);
 }
 
@@ -124,7 +124,7 @@
   before->in_flight = 3;
   before->peers.running = 4;
   before->failures = 2;
-  BackendDirectory::NoteWeights(*before, kModel, WeightsNumber(2));
+  BackendDirectory::RecordWeights(*before, kModel, WeightsNumber(2));
   BOOST_TEST((directory.Put(Started("b", 6)) == Registration::kRestarted));
   const BackendPtr after = directory.Find(BackendId("b"));
   BOOST_TEST(before->removed);
--- a/libs/gateway/test/engine_cache-test.cc
+++ b/libs/gateway/test/engine_cache-test.cc
@@ -49,8 +49,8 @@
 
 BOOST_AUTO_TEST_CASE(parts_are_read_some_time_after_they_were_brought) {
   Use(10);
-  BOOST_TEST(cache.Find(Prompt(10), 250ms, kNow + 200ms).readable == 0U);
-  BOOST_TEST(cache.Find(Prompt(10), 250ms, kNow + 250ms).readable == 3'000U);
+  BOOST_TEST(cache.Find(Prompt(10), 250ms, kNow + 200ms).prefilled == 0U);
+  BOOST_TEST(cache.Find(Prompt(10), 250ms, kNow + 250ms).prefilled == 3'000U);
 }
 
 BOOST_AUTO_TEST_CASE(beginning_that_is_missing_makes_the_rest_useless) {
--- a/libs/gateway/test/exchange_plan-test.cc
+++ b/libs/gateway/test/exchange_plan-test.cc
@@ -48,7 +48,7 @@
 struct Fixture {
   net::io_context io;
   Metrics metrics;
-  GatewayState state{io.get_executor(), ZoneId("a"), GatewayLimits{}, PlacementWeights{}, metrics};
+  GatewayState state{io.get_executor(), ZoneId("a"), GatewayLimits{}, PlacementCosts{}, metrics};
   InboundRequest request;
 
   Fixture() {
--- a/libs/gateway/test/placement-test.cc
+++ b/libs/gateway/test/placement-test.cc
@@ -32,7 +32,7 @@
   std::vector<BackendPtr> backends = {MakeBackend("x"), MakeBackend("y"), MakeBackend("z")};
   PromptChain chain = PromptChain::Of(Generation(), "shared");
   PlacementQuery query;
-  PlacementWeights weights;
+  PlacementCosts weights;
 
   Fixture() {
     query.own_zone = ZoneId("a");
--- a/libs/gateway/test/polled_choice-test.cc
+++ b/libs/gateway/test/polled_choice-test.cc
@@ -79,7 +79,7 @@
   Fixture() {
     for (int g = 0; g < kGateways; ++g) {
       auto state = std::make_unique<GatewayState>(io.get_executor(), ZoneOf(g), GatewayLimits{},
-                                                  PlacementWeights{}, metrics);
+                                                  PlacementCosts{}, metrics);
       state->SetGatewayHash(static_cast<std::uint64_t>(g) + 1);
       state->TakeSnapshot(*RoutingSnapshot::Create(Parts()));
       for (int e = 0; e < kEngines; ++e) {
@@ -115,7 +115,7 @@
       report.backend = HashOf(*backend);
       report.work.unread_tokens = static_cast<std::uint32_t>(engine.unread);
       const bool held = !question.parts.empty() && engine.Holds(question.parts.back().hash);
-      if (held) report.held = {kShared, kShared, 0};
+      if (held) report.prefix_match = {kShared, kShared, 0};
       answer.backends[report.backend] = report;
     }
     if (!question.home) return;
--- a/libs/gateway/test/shortlist-test.cc
+++ b/libs/gateway/test/shortlist-test.cc
@@ -58,7 +58,7 @@
 BOOST_AUTO_TEST_CASE(long_prompt_asks_its_homes_and_drawn_ones_of_the_own_zone) {
   const auto first = Shortlist(query, engines);
   BOOST_TEST(first.size() == sizes.homes + sizes.random_picks);
-  query.draw = 9;
+  query.random_seed = 9;
   const auto second = Shortlist(query, engines);
   BOOST_TEST((first[0] == second[0]));
   BOOST_TEST((first[1] == second[1]));
@@ -131,7 +131,7 @@
 BOOST_AUTO_TEST_CASE(short_prompts_and_calls_use_few_engines_of_the_own_zone) {
   Share(198);
   std::set<std::string> used;
-  for (query.draw = 0; query.draw < 200; ++query.draw) {
+  for (query.random_seed = 0; query.random_seed < 200; ++query.random_seed) {
     const auto list = Shortlist(query, engines);
     BOOST_TEST(list.size() == sizes.subset_sample);
     for (const BackendPtr& engine : list) {
@@ -171,7 +171,7 @@
 BOOST_AUTO_TEST_CASE(widened_list_has_others_of_all_zones) {
   const auto list = Shortlist(query, engines);
   std::set<std::string> zones;
-  for (query.draw = 0; query.draw < 50; ++query.draw) {
+  for (query.random_seed = 0; query.random_seed < 50; ++query.random_seed) {
     const auto more = ExtendShortlist(query, engines, list);
     BOOST_TEST(more.size() == sizes.extension);
     for (const BackendPtr& engine : more) {
@@ -189,7 +189,7 @@
     engine->weights[kModel] = WeightsNumber(*rc::gen::inRange<std::uint64_t>(1, 3));
   }
   query.newest_weights = WeightsNumber(2);
-  query.draw = *rc::gen::arbitrary<std::uint64_t>();
+  query.random_seed = *rc::gen::arbitrary<std::uint64_t>();
   Share(*rc::gen::elementOf(std::vector<std::uint32_t>{0, 198, 6'300}));
   const auto list = Shortlist(query, engines);
   RC_ASSERT(!list.empty());
--- a/libs/peers/include/peers/load_messages.h
+++ b/libs/peers/include/peers/load_messages.h
@@ -38,7 +38,7 @@
   std::vector<BackendReport> backends;
   std::optional<StoreReport> store;
   std::vector<BackendHash> holders;
-  BeginningSample sample;
+  PrefixSample sample;
   std::vector<AnnouncementUpdate> namings;
 };
 
--- a/libs/peers/src/load_asker.cc
+++ b/libs/peers/src/load_asker.cc
@@ -85,7 +85,7 @@
     answer.backends.push_back(report);
   }
   if (question.store) {
-    answer.store = state_.ReportOn(AskedStore{*question.store, ZoneId()}, asked, now);
+    answer.store = state_.ReportOn(StoreQuery{*question.store, ZoneId()}, asked, now);
   }
   if (!question.parts.empty()) answer.sample = state_.SampleOf(question.parts.front().hash);
   if (question.wants_holders) answer.holders = state_.HoldersOf(question.parts, now);
--- a/libs/peers/src/news_codec.cc
+++ b/libs/peers/src/news_codec.cc
@@ -18,9 +18,9 @@
     entry.set_own_tokens(placed.own_tokens);
     entry.set_weights(placed.weights.value());
     entry.set_fetched_from(placed.fetched_from);
-    entry.set_fetch_us(static_cast<std::uint32_t>(placed.fetch_length.count()));
+    entry.set_fetch_us(static_cast<std::uint32_t>(placed.fetch_duration.count()));
     entry.set_saved_to(placed.saved_to);
-    entry.set_save_us(static_cast<std::uint32_t>(placed.save_length.count()));
+    entry.set_save_us(static_cast<std::uint32_t>(placed.save_duration.count()));
     for (const SharedPart& part : placed.parts) {
       entry.add_parts(part.hash);
       entry.add_part_tokens(part.tokens);
@@ -29,7 +29,7 @@
   for (const HoldUpdate& hold : items.holds) {
     wire::GatewayHold& entry = *message.add_holds();
     entry.set_backend(hold.backend);
-    entry.set_for_ms(static_cast<std::uint32_t>(hold.length.count()));
+    entry.set_for_ms(static_cast<std::uint32_t>(hold.duration.count()));
   }
   for (const BackendHash backend : items.unreachable) message.add_unreachable(backend);
   for (const WeightsUpdate& weights : items.weights) {
@@ -49,9 +49,9 @@
     placed.own_tokens = entry.own_tokens();
     placed.weights = WeightsNumber(entry.weights());
     placed.fetched_from = entry.fetched_from();
-    placed.fetch_length = Duration(entry.fetch_us());
+    placed.fetch_duration = Duration(entry.fetch_us());
     placed.saved_to = entry.saved_to();
-    placed.save_length = Duration(entry.save_us());
+    placed.save_duration = Duration(entry.save_us());
     const int parts = std::min(entry.parts_size(), entry.part_tokens_size());
     for (int i = 0; i < parts; ++i) placed.parts.push_back({entry.parts(i), entry.part_tokens(i)});
     items.placed.push_back(std::move(placed));
@@ -97,9 +97,9 @@
   entry.set_uncovered(report.work.uncovered);
   entry.set_hold_ms(Microseconds(report.hold) / 1'000);
   entry.set_weights(report.weights.value());
-  entry.set_known_tokens(report.held.tokens);
-  entry.set_readable_tokens(report.held.readable);
-  entry.set_used_since(report.held.used_since);
+  entry.set_known_tokens(report.prefix_match.tokens);
+  entry.set_readable_tokens(report.prefix_match.prefilled);
+  entry.set_used_since(report.prefix_match.used_since);
   entry.set_link_us(Microseconds(report.link_wait));
   entry.set_unreachable(!report.reachable);
 }
@@ -110,7 +110,7 @@
   report.work = {entry.running(), entry.unread_tokens(), entry.unrepeatable(), entry.uncovered()};
   report.hold = std::chrono::milliseconds(entry.hold_ms());
   report.weights = WeightsNumber(entry.weights());
-  report.held = {entry.known_tokens(), entry.readable_tokens(), entry.used_since()};
+  report.prefix_match = {entry.known_tokens(), entry.readable_tokens(), entry.used_since()};
   report.link_wait = Duration(entry.link_us());
   report.reachable = !entry.unreachable();
   return report;
--- a/libs/peers/src/peer_loads.cc
+++ b/libs/peers/src/peer_loads.cc
@@ -61,7 +61,7 @@
   for (const PlacementUpdate& placed : items.placed) state_.TakePlaced(placed, now);
   for (const HoldUpdate& hold : items.holds) {
     if (const BackendPtr backend = state_.directory().FindByHash(hold.backend)) {
-      backend->hold_until = now + hold.length;
+      backend->hold_until = now + hold.duration;
     }
   }
   for (const BackendHash backend_hash : items.unreachable) {
@@ -71,7 +71,7 @@
   }
   for (const WeightsUpdate& weights : items.weights) {
     if (const BackendPtr backend = state_.directory().FindByHash(weights.backend)) {
-      BackendDirectory::NoteWeights(*backend, weights.model, weights.number);
+      BackendDirectory::RecordWeights(*backend, weights.model, weights.number);
     }
   }
 }
--- a/libs/peers/test/peers-test.cc
+++ b/libs/peers/test/peers-test.cc
@@ -18,7 +18,7 @@
 struct Fixture {
   net::io_context io;
   Metrics metrics;
-  GatewayState state{io.get_executor(), ZoneId("a"), GatewayLimits{}, PlacementWeights{}, metrics};
+  GatewayState state{io.get_executor(), ZoneId("a"), GatewayLimits{}, PlacementCosts{}, metrics};
   PeerLoads loads{state};
 
   Fixture() {
--- a/model/fleet_model.cc
+++ b/model/fleet_model.cc
@@ -47,7 +47,7 @@
 
 }  // namespace
 
-FleetModel::FleetModel(Pattern pattern, GatewayLimits limits, PlacementWeights weights)
+FleetModel::FleetModel(Pattern pattern, GatewayLimits limits, PlacementCosts weights)
     : pattern_(std::move(pattern)),
       state_(io_.get_executor(), kZone, limits, weights, metrics_),
       admission_(limits.admission),
@@ -123,7 +123,7 @@
 void FleetModel::LoadWeights() {
   for (auto& [id, engine] : engines_) {
     engine.Forget();
-    BackendDirectory::NoteWeights(*state_.directory().Find(id), kModel, WeightsNumber(2));
+    BackendDirectory::RecordWeights(*state_.directory().Find(id), kModel, WeightsNumber(2));
   }
 }
 
@@ -211,12 +211,12 @@
   request.number = number;
   request.parts = open.plan.chain->parts;
   request.own_tokens = open.plan.chain->own_tokens();
-  request.fetches = choice->fetch_length > Duration::zero();
+  request.fetches = choice->fetch_duration > Duration::zero();
   request.parts_there = now_;
   if (request.fetches) {
     const LinkHash link = LinkOf(*choice->fetch_from);
-    request.parts_there += links_.QueueDelay(link, now_) + choice->fetch_length;
-    links_.Reserve(link, choice->fetch_length, now_);
+    request.parts_there += links_.QueueDelay(link, now_) + choice->fetch_duration;
+    links_.Reserve(link, choice->fetch_duration, now_);
   }
   ++open.backend->in_flight;
   open.backend->unprefilled_tokens += open.tokens_to_read;
--- a/model/fleet_model.h
+++ b/model/fleet_model.h
@@ -63,7 +63,7 @@
 /// gives the same result. Runs and streams after the first event are left out.
 class FleetModel {
  public:
-  FleetModel(Pattern pattern, GatewayLimits limits, PlacementWeights weights);
+  FleetModel(Pattern pattern, GatewayLimits limits, PlacementCosts weights);
 
   /// Plays the whole pattern; the outcome by the demands' paths.
   std::map<std::string, Outcome> Play();
--- a/model/test/load_patterns-test.cc
+++ b/model/test/load_patterns-test.cc
@@ -20,7 +20,7 @@
 }
 
 std::map<std::string, Outcome> Play(const Pattern& pattern, bool admission,
-                                    PlacementWeights weights = {}) {
+                                    PlacementCosts weights = {}) {
   GatewayLimits limits;
   limits.admission.enabled = admission;
   return FleetModel(pattern, limits, weights).Play();
@@ -66,7 +66,7 @@
   for (std::uint32_t seed = 1; seed <= 5; ++seed) {
     Pattern pattern = StoreLinkFull();
     pattern.seed = seed;
-    PlacementWeights store_alone;
+    PlacementCosts store_alone;
     store_alone.engines_as_sources = false;
     store_alone.watch_links = false;
     const auto with = Play(pattern, true);
@@ -78,7 +78,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(slow_engines_are_noticed) {
-  PlacementWeights fixed;
+  PlacementCosts fixed;
   fixed.observe_speed = false;
   const double observed = InTime(Play(SlowEngines(), true));
   const double settings = InTime(Play(SlowEngines(), true, fixed));
--- a/programs/ridgehold-model.cc
+++ b/programs/ridgehold-model.cc
@@ -20,7 +20,7 @@
   std::uint32_t seed = 1;
   std::uint32_t seeds = 1;
   AdmissionRule admission;
-  PlacementWeights placement;
+  PlacementCosts placement;
   bool spare_limited = true;
   LimitTolerance tolerance;
   bool limits = false;
--- a/test/backend_prober-test.cc
+++ b/test/backend_prober-test.cc
@@ -35,7 +35,7 @@
 struct Fixture {
   net::io_context io;
   Metrics metrics;
-  GatewayState state{io.get_executor(), ZoneId("a"), GatewayLimits{}, PlacementWeights{}, metrics};
+  GatewayState state{io.get_executor(), ZoneId("a"), GatewayLimits{}, PlacementCosts{}, metrics};
   std::optional<tcp::acceptor> acceptor;
   tcp::endpoint endpoint{net::ip::make_address("127.0.0.1"), 0};
   BackendProber prober{state, Options()};
--- a/test/peer_link-test.cc
+++ b/test/peer_link-test.cc
@@ -25,7 +25,7 @@
 
   Gateway(net::io_context& io, const std::string& address, const std::string& peer,
           std::size_t most_told = 32)
-      : state(io.get_executor(), ZoneId("a"), GatewayLimits{}, PlacementWeights{}, metrics) {
+      : state(io.get_executor(), ZoneId("a"), GatewayLimits{}, PlacementCosts{}, metrics) {
     BackendEntry entry;
     entry.id = BackendId("b");
     state.directory().Put(entry);
@@ -137,12 +137,12 @@
   const BackendReport* report = answer.Find(other->backend());
   BOOST_REQUIRE(report != nullptr);
   BOOST_TEST(report->work.running == 1U);
-  BOOST_TEST(report->held.tokens == 90U);
+  BOOST_TEST(report->prefix_match.tokens == 90U);
   BOOST_TEST(other->backend().peers.running == 1U);
   const LoadAnswer own = Ask(*tracker, 7);
   BOOST_REQUIRE(own.Find(tracker->backend()) != nullptr);
   BOOST_TEST(own.Find(tracker->backend())->work.running == 1U);
-  BOOST_TEST(own.Find(tracker->backend())->held.tokens == 90U);
+  BOOST_TEST(own.Find(tracker->backend())->prefix_match.tokens == 90U);
 }
 
 BOOST_FIXTURE_TEST_CASE(hold_and_end_of_load_reach_the_tracker, TrackedFixture) {
--- a/test/store_copy_reader-test.cc
+++ b/test/store_copy_reader-test.cc
@@ -37,7 +37,7 @@
 struct Fixture {
   net::io_context io;
   Metrics metrics;
-  GatewayState state{io.get_executor(), ZoneId("a"), GatewayLimits{}, PlacementWeights{}, metrics};
+  GatewayState state{io.get_executor(), ZoneId("a"), GatewayLimits{}, PlacementCosts{}, metrics};
   Taker taker;
   StoreCopy told;
   http::status status = http::status::ok;
