--- a/libs/gateway/include/gateway/backend_directory.h
+++ b/libs/gateway/include/gateway/backend_directory.h
@@ -1,4 +1,4 @@
-// The backend servers a gateway knows: what they say of themselves and how they fare.
+// The backend servers known to a gateway: their registrations, load and health.
 
 #pragma once
 
@@ -22,8 +22,8 @@
 
 namespace ridgehold {
 
-/// What a backend server has registered about itself. A process that starts
-/// again may do so under the id that it had; `started` then tells the two apart.
+/// A backend server's registration. A restarted process may register under its previous id;
+/// `started` then distinguishes the two.
 struct BackendEntry {
   BackendId id;
   StartStamp started;
@@ -36,150 +36,148 @@
   std::map<ModelId, WeightsNumber> weights;
 };
 
-/// What other gateways do at a backend server, as they told last.
+/// The load that other gateways last reported for a backend server.
 struct PeerLoad {
   std::uint32_t running = 0;
   std::uint32_t unread_tokens = 0;
   std::uint32_t unrepeatable = 0;
-  std::uint32_t uncovered = 0;  ///< could be resumed, but retries are used up
+  std::uint32_t uncovered = 0;  ///< could be resumed, but their retries are used up
 };
 
-/// One backend server. Requests that run there share it with the directory.
+/// One backend server. Shared between the directory and the requests that run on it.
 struct Backend {
   BackendEntry entry;
-  std::map<ModelId, WeightsNumber> weights;  ///< newest news of any source
-  std::optional<TimePoint> grace_until;      ///< registration lapsed; gone from then on
+  std::map<ModelId, WeightsNumber> weights;  ///< highest version reported by any source
+  std::optional<TimePoint> grace_until;      ///< registration lapsed; removed at this time
   bool removed = false;
   bool reachable = true;     ///< as of the last probe
-  bool needs_probe = false;  ///< an attempt failed, or a peer cannot reach it: to be probed
+  bool needs_probe = false;  ///< an attempt failed here, or a peer cannot reach it
   TimePoint probed_at{};
-  bool probing = false;     ///< a probe is on its way
+  bool probing = false;     ///< a probe is in flight
   bool superseded = false;  ///< another incarnation has registered at its address
 
   std::uint32_t in_flight = 0;     ///< requests of this gateway
-  std::uint32_t unrepeatable = 0;  ///< those of them that cannot be resumed elsewhere
-  PeerLoad peers;                  ///< of the other gateways, as far as is known
-  PeerLoad direct_peers;           ///< of those that told this gateway themselves
-  TimePoint peers_updated_at{};    ///< when another gateway last said what `peers` is
-  TimePoint hold_until{};          ///< to get no new requests before, if others can take them
-  double unprefilled_tokens = 0;   ///< of requests that have no first event yet
-  TimePoint avoid_until{};         ///< after failures, or while it loads weights
-  std::uint32_t failures = 0;      ///< in a row
-  double error_rate = 0;           ///< moving mean of failed answers
-  Duration first_event_wait{0};    ///< until the first event, as requests waited lately
+  std::uint32_t unrepeatable = 0;  ///< of these, requests that cannot be resumed elsewhere
+  PeerLoad peers;                  ///< load from all other gateways, as far as known
+  PeerLoad direct_peers;           ///< load from the gateways that report directly to this one
+  TimePoint peers_updated_at{};    ///< when another gateway last updated `peers`
+  TimePoint hold_until{};          ///< no new requests before, if others can take them
+  double unprefilled_tokens = 0;   ///< prompt tokens of requests without a first event
+  TimePoint avoid_until{};         ///< backoff after failures, or while it loads weights
+  std::uint32_t failures = 0;      ///< consecutive
+  double error_rate = 0;           ///< moving average of the fraction of failed answers
+  Duration first_event_wait{0};    ///< recently observed wait for the first event
   TimePoint first_event_wait_at{};
-  std::multiset<TimePoint> waiting_since;  ///< of this gateway's requests without an event
-  EngineCache cache;                       ///< under the weights it runs now
+  std::multiset<TimePoint> waiting_since;  ///< send times of requests without a first event
+  EngineCache cache;                       ///< estimated, for the weights it runs now
   BackendWord notice_state;
 };
 
 using BackendPtr = std::shared_ptr<Backend>;
 
-/// Of this incarnation.
+/// Identifies this incarnation of the backend server.
 BackendHash HashOf(const Backend& backend);
 
-/// Whether it is to be chosen last: it failed or refused here, or others say so.
+/// Whether it is chosen last: it failed or refused a request here, or other gateways report that it
+/// did.
 inline bool IsAvoided(const Backend& backend, TimePoint now) {
   return backend.avoid_until > now || backend.notice_state.doubted_until() > now;
 }
 
-/// What a registration meant to the directory.
+/// How a registration changed the directory.
 enum class Registration : std::uint8_t {
   kAdded,
   kChanged,
-  kRestarted,  ///< the id is known, from a process that started earlier
-  kStale,      ///< of a process that was followed by another; ignored
+  kRestarted,  ///< the id was known from a process that started earlier
+  kStale,      ///< from a process that has since been replaced; ignored
 };
 
-/// Not thread-safe; time comes in as a value.
+/// Not thread-safe; the caller passes in the time.
 class BackendDirectory {
  public:
-  /// Backoff after the first failure; doubled with each further one.
+  /// Backoff after the first failure; doubled after each consecutive one.
   static constexpr std::chrono::milliseconds kInitialBackoff{250};
   static constexpr std::chrono::milliseconds kMaxBackoff{2'000};
-  /// Weight of the newest answer in `error_rate`.
+  /// Smoothing factor of `error_rate`.
   static constexpr double kErrorRateStep = 0.15;
 
-  /// A backend server has registered or changed its entry. A new one at an
-  /// address ends those that were there before: their own entries lapse only
-  /// seconds later, and each request sent there meanwhile costs a retry (184 in
-  /// 14 s, when a third of the engines crashed three times). A later start under
-  /// a known id begins anew: that process holds nothing of what was sent before.
+  /// Adds or updates a registration. A new backend server at an address supersedes those registered
+  /// there before: their own registrations lapse only seconds later, and each request sent there
+  /// meanwhile costs a retry (184 in 14 s when a third of the engines crashed three times). A later
+  /// start under a known id replaces the entry, because the new process has none of the old one's
+  /// cache or requests.
   Registration Put(const BackendEntry& entry);
 
-  /// The services that the configuration has. Registrations for others are kept,
-  /// in case it comes later, but end nobody and are given nothing.
+  /// Sets the services of the configuration. Registrations for other services are kept, in case the
+  /// configuration adds them later, but supersede nobody and get no requests.
   void SetServices(std::set<ServiceId> services);
   bool IsServed(const ServiceId& service) const {
     return services_.empty() || services_.contains(service);
   }
 
-  /// Called for each incarnation that is found to be gone and has not announced that
-  /// it leaves.
+  /// Called for each incarnation that ended without announcing that it would leave.
   void SetTerminationListener(std::function<void(const Backend&)> listener) {
     on_termination_ = std::move(listener);
   }
 
-  /// An entry is gone. With `grace` above zero the backend server is used on
-  /// until it has passed, in case the entry comes back.
+  /// Removes a registration. With `grace` above zero the backend server stays in use for that long,
+  /// in case the registration comes back.
   void Remove(const BackendId& id, Duration grace, TimePoint now);
 
-  /// Takes a full list; entries that are not in it are removed with `grace`.
+  /// Replaces all registrations; those not in `entries` are removed with `grace`.
   void Replace(const std::vector<BackendEntry>& entries, Duration grace, TimePoint now);
 
-  /// Drops what was missing for too long. Returns the ids that were dropped.
+  /// Drops backend servers whose grace period is over. Returns their ids.
   std::vector<BackendId> Expire(TimePoint now);
 
-  /// Those of `service` that may be given new requests at all.
+  /// The backend servers of `service` that may get new requests.
   std::vector<BackendPtr> Usable(const ServiceId& service, TimePoint now) const;
 
   BackendPtr Find(const BackendId& id) const;
   BackendPtr FindByHash(BackendHash hash) const;
   const std::map<BackendId, BackendPtr>& all() const { return backends_; }
 
-  /// How long a request that is sent now waits until the engine begins it: as
-  /// long as the last ones did, as the one that has waited longest by now, and as
-  /// reading takes what all gateways have sent there.
+  /// Expected time until the engine begins a request that is sent now: the maximum of the recently
+  /// observed wait, the age of the oldest request without a first event, and the time to prefill
+  /// all tokens that the gateways have sent there.
   static Duration ExpectedWait(const Backend& backend, double tokens_per_ms, TimePoint now);
-  /// The first event has come after `waited`.
+  /// Records that a request's first event came after `waited`.
   static void RecordFirstEvent(Backend& backend, Duration waited, TimePoint now);
 
-  /// A probe has reached it.
+  /// Records that a probe reached the backend server.
   static void RecordReachable(Backend& backend);
 
   static void RecordSuccess(Backend& backend);
-  /// The backend server could not be reached or broke off.
+  /// Records that the backend server could not be reached or broke the connection.
   static void RecordFailure(Backend& backend, TimePoint now);
-  /// It answered, but with a failure of its own.
+  /// Records an answer that reports a server error.
   static void RecordErrorResponse(Backend& backend);
-  /// News of the weights it runs.
-  /// Newer weights empty its cache.
+  /// Records the weights that the backend server runs. Newer weights empty its cache.
   static void RecordWeights(Backend& backend, const ModelId& model, WeightsNumber weights);
 
  private:
-  /// Restarts remembered for entries that come late; more are forgotten with
-  /// their backend servers. So are words.
+  /// Bounds `starts_`, which rejects registrations that arrive late, and `saved_notices_`.
   static constexpr std::size_t kMaxRememberedStarts = 20'000;
 
   Registration Classify(const BackendEntry& entry) const;
-  /// Puts what Classify has not found outdated, without regard to others.
+  /// Applies a registration that Classify did not find stale, without superseding others.
   void Store(const BackendEntry& entry, Registration registration);
   void RecordStart(const BackendEntry& entry);
   void Drop(const BackendId& id);
   void SaveNotice(const Backend& backend);
   void RestoreNotice(Backend& backend);
   void NotifyTermination(const Backend& backend) const;
-  /// Ends those at the address of `newcomer`, if that is not known yet.
+  /// Supersedes the backend servers at the address of `newcomer`, unless it is already known.
   void Supersede(const BackendEntry& newcomer);
 
   std::map<BackendId, BackendPtr> backends_;
   std::unordered_map<BackendHash, BackendPtr> by_hash_;
-  std::unordered_map<BackendId, StartStamp> starts_;  ///< the latest known
-  /// Of backend servers that are gone: a registration that lapses and comes back is of
-  /// the same process, and what that has said holds on.
+  std::unordered_map<BackendId, StartStamp> starts_;  ///< latest known start of each id
+  /// Notices of backend servers that are gone. A registration that lapses and comes back is of the
+  /// same process, so its notices still hold.
   std::unordered_map<BackendHash, BackendWord> saved_notices_;
   std::function<void(const Backend&)> on_termination_;
-  std::set<ServiceId> services_;  ///< empty: not known yet
+  std::set<ServiceId> services_;  ///< empty until the configuration is known
 };
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/backend_load.h
+++ b/libs/gateway/include/gateway/backend_load.h
@@ -1,4 +1,4 @@
-// What one attempt adds to a backend server's load, for as long as it lives.
+// The load that one attempt adds to a backend server while it runs.
 
 #pragma once
 
@@ -10,14 +10,14 @@
 
 namespace ridgehold {
 
-/// What other gateways are told of an attempt.
+/// The update that tells other gateways about an attempt.
 PlacementUpdate PlacementUpdateOf(const ExchangePlan& plan, const InboundRequest& request,
                                   const BackendChoice& choice);
 
-/// Counts on construction, and counts back on destruction.
+/// Adds the attempt's load on construction and removes it on destruction.
 class BackendLoad {
  public:
-  /// `last_run`: the request may run nowhere else after this.
+  /// `last_run`: the request may not run anywhere else after this attempt.
   BackendLoad(GatewayState& state, const ExchangePlan& plan, const InboundRequest& request,
               const BackendChoice& choice, bool last_run = false);
   ~BackendLoad();
@@ -25,7 +25,7 @@
   BackendLoad(const BackendLoad&) = delete;
   BackendLoad& operator=(const BackendLoad&) = delete;
 
-  /// The prompt has been read: the first event is there.
+  /// Records the first event, which ends the prefill.
   void OnFirstEvent(TimePoint now);
 
  private:
--- a/libs/gateway/include/gateway/backend_search.h
+++ b/libs/gateway/include/gateway/backend_search.h
@@ -1,4 +1,4 @@
-// Finds a backend server that takes a request now, or waits for one.
+// Finds a backend server that has capacity for a request, or waits for one.
 
 #pragma once
 
@@ -14,7 +14,8 @@
 
 namespace ridgehold {
 
-/// One request's search, for each of its attempts. All that it refers to outlives it.
+/// The search for a backend server for each attempt of one request. Everything it refers to must
+/// outlive it.
 class BackendSearch {
  public:
   struct Request {
@@ -22,37 +23,38 @@
     const InboundRequest& inbound;
     const std::set<BackendId>& tried;
     RequestRecord& record;
-    /// Whether nobody waits for the request any more.
+    /// Whether the caller no longer waits for the request.
     std::function<bool()> abandoned;
-    /// Until when an attempt may begin.
+    /// Latest time at which an attempt may begin.
     std::function<TimePoint()> wait_limit;
   };
 
   BackendSearch(GatewayState& state, Request request) : state_(state), request_(request) {}
 
-  /// Chooses a backend server and waits, if need be, until it has room. A stream that has
-  /// begun goes on at once, since its caller is reading. Nothing: none takes the request.
+  /// Chooses a backend server and, if necessary, waits until it has capacity. Does not wait for a
+  /// stream that has begun, because its caller is already reading. Returns nothing if no backend
+  /// server takes the request.
   net::awaitable<std::optional<BackendChoice>> Find(bool stream_begun);
 
-  /// When the first of those that were not tried takes a request, by its own word; nothing
-  /// if there is none.
+  /// The earliest time at which one of the untried backend servers accepts a request, by its own
+  /// notices; nothing if there is none.
   std::optional<TimePoint> NextCapacity() const;
 
-  /// When a caller that is refused should come back.
+  /// The delay after which a refused caller should retry.
   std::chrono::milliseconds RetryAfter() const;
 
  private:
-  /// How a look for a backend server has ended.
+  /// The result of one search.
   enum class Outcome : std::uint8_t {
     kFound,
-    kWait,  ///< for room that there will be
+    kWait,  ///< until a backend server has capacity
     kNone,
   };
 
-  /// In one look. Each costs a round trip to whoever counts.
+  /// Permit refusals per search. Each costs a round trip to the instance that keeps count.
   static constexpr int kMaxPermitRefusals = 4;
 
-  /// Chooses one that takes the request now, and gets the permit that it may need.
+  /// Chooses a backend server that takes the request now, and acquires a permit if it needs one.
   net::awaitable<Outcome> TryOnce(std::optional<BackendChoice>& choice);
   net::awaitable<Outcome> WaitForCapacity(std::optional<BackendChoice>& choice);
   net::awaitable<std::optional<BackendChoice>> ChooseAvoidingRateLimited();
--- a/libs/gateway/include/gateway/engine_cache.h
+++ b/libs/gateway/include/gateway/engine_cache.h
@@ -1,4 +1,4 @@
-// What one engine's cache is believed to hold, from the requests that were sent there.
+// Estimates the contents of one engine's KV cache from the requests that were sent there.
 
 #pragma once
 
@@ -11,39 +11,38 @@
 
 namespace ridgehold {
 
-/// A shared part of a prompt. The hash stands for the part and all before it.
+/// A shared part of a prompt. The hash covers the part and all parts before it.
 struct SharedPart {
   std::uint64_t hash = 0;
-  std::uint32_t tokens = 0;  ///< of this part alone
+  std::uint32_t tokens = 0;  ///< in this part alone
 
   bool operator==(const SharedPart&) const = default;
 };
 
-/// Evicts as engines do: the parts whose last use is longest ago go when new
-/// ones need room. Use of parts that were there counts like new ones: a mere count
-/// of tokens taken in takes parts for kept that others have outlived. Not
-/// thread-safe; time comes in as a value.
+/// Evicts in LRU order, as engines do. Using a cached part counts like adding a new one: an
+/// estimate that only counts the tokens added would keep parts that the engine has already evicted.
+/// Not thread-safe; the caller passes in the time.
 class EngineCache {
  public:
-  /// Bounds what is remembered of an engine whose memory is not known.
+  /// Bounds the entries for an engine whose memory size is not known.
   static constexpr std::size_t kMaxEntries = 4'000;
 
   struct PrefixMatch {
-    std::uint32_t tokens = 0;      ///< from the beginning on, without a gap
-    std::uint32_t prefilled = 0;   ///< of those, what has been read by now
-    std::uint64_t used_since = 0;  ///< tokens used after the oldest of these parts
+    std::uint32_t tokens = 0;      ///< in the longest cached prefix
+    std::uint32_t prefilled = 0;   ///< of these, tokens whose prefill is done
+    std::uint64_t used_since = 0;  ///< tokens used more recently than the oldest of these parts
   };
 
-  /// A request with these shared parts and `own_tokens` of its own is sent to
-  /// the engine, whose memory holds `capacity` tokens; 0: not known.
+  /// Records a request with these shared parts and `own_tokens` unshared tokens, sent to an engine
+  /// whose memory holds `capacity` tokens (0: not known).
   void Use(std::span<const SharedPart> parts, std::uint32_t own_tokens, std::uint64_t capacity,
            TimePoint now);
 
-  /// Which of `parts` are there. Parts count as read `prefill_delay` after they
-  /// were first brought.
+  /// Finds the longest cached prefix of `parts`. The prefill of a part counts as done
+  /// `prefill_delay` after it was first added.
   PrefixMatch Find(std::span<const SharedPart> parts, Duration prefill_delay, TimePoint now) const;
 
-  /// The engine has lost everything.
+  /// Empties the estimate when the engine has lost its cache.
   void Clear();
 
   std::uint64_t tokens() const { return tokens_; }
@@ -53,10 +52,10 @@
   struct Entry {
     std::uint64_t hash = 0;
     std::uint32_t tokens = 0;
-    bool shared = false;  ///< else a request's own part, which nobody asks for again
+    bool shared = false;  ///< false for a request's own part, which no other request uses
     TimePoint placed{};
   };
-  using Entries = std::list<Entry>;  ///< the last used first
+  using Entries = std::list<Entry>;  ///< most recently used first
 
   void Touch(const SharedPart& part, TimePoint now);
   void Evict(std::uint64_t capacity);
--- a/libs/gateway/include/gateway/load_report.h
+++ b/libs/gateway/include/gateway/load_report.h
@@ -1,4 +1,4 @@
-// What a gateway is asked about backend servers that it tracks, and what it answers.
+// The load query that a gateway sends to the gateways that track backend servers, and the answer.
 
 #pragma once
 
@@ -14,54 +14,55 @@
 
 namespace ridgehold {
 
-/// A store of kept cache that is asked about.
+/// A KV cache store that a query asks about.
 struct StoreQuery {
   LinkHash link = 0;
   ZoneId zone;
 };
 
-/// What is asked before a request is placed.
+/// The query that is sent before a request is placed.
 struct LoadQuestion {
   std::vector<BackendPtr> backends;
-  std::vector<SharedPart> parts;  ///< of the prompt; only their hashes are sent
+  std::vector<SharedPart> parts;  ///< parts of the prompt; only their hashes are sent
   ModelId model;
-  WeightsNumber weights;            ///< of the parts in the store
-  std::optional<StoreQuery> store;  ///< none: nothing is fetched from one
-  BackendPtr home;                  ///< whose tracker is asked who has the parts; null: nobody
+  WeightsNumber weights;            ///< weights under which the store's parts were computed
+  std::optional<StoreQuery> store;  ///< none: nothing is fetched from a store
+  BackendPtr
+      home;  ///< backend server whose tracker reports which engines hold the parts; null: none
 };
 
-/// How a backend server is, by the gateway that tracks it.
+/// The state of a backend server, reported by the gateway that tracks it.
 struct BackendReport {
   BackendHash backend = 0;
-  PeerLoad work;                          ///< of all gateways but the asking one
-  Duration hold{0};                       ///< to get no new requests so long
-  WeightsNumber weights;                  ///< of the model asked for; 0: not known
-  EngineCache::PrefixMatch prefix_match;  ///< of the parts asked for
-  Duration link_wait{0};                  ///< until its link is free
-  bool reachable = true;                  ///< from the gateway that reports
+  PeerLoad work;                          ///< load of all gateways except the querying one
+  Duration hold{0};                       ///< remaining time for which it gets no new requests
+  WeightsNumber weights;                  ///< weights of the queried model; 0: not known
+  EngineCache::PrefixMatch prefix_match;  ///< cached prefix of the queried parts
+  Duration link_wait{0};                  ///< time until its link is free
+  bool reachable = true;                  ///< as seen by the reporting gateway
 };
 
-/// How a store of kept cache is.
+/// The state of a KV cache store.
 struct StoreReport {
   LinkHash link = 0;
-  std::uint32_t readable_tokens = 0;  ///< of the parts asked for, from the beginning on
+  std::uint32_t readable_tokens = 0;  ///< longest stored prefix of the queried parts
   Duration link_wait{0};
 };
 
-/// What one gateway has seen of a prompt's beginning among its own requests.
+/// One gateway's sample of how often its own prompts begin with a given part.
 struct PrefixSample {
-  double tokens = 0;  ///< brought to caches by prompts that begin so
-  double total = 0;   ///< by all
+  double tokens = 0;  ///< added to caches by prompts with this first part
+  double total = 0;   ///< added by all prompts
 };
 
-/// The answers that came in time.
+/// The answers that arrived in time.
 struct LoadAnswer {
   std::map<BackendHash, BackendReport> backends;
   std::optional<StoreReport> store;
-  std::vector<BackendHash> holders;  ///< engines that are believed to have all parts
+  std::vector<BackendHash> holders;  ///< engines estimated to have all parts
   std::vector<PrefixSample> samples;
 
-  /// Null when it was not asked about, or did not answer.
+  /// Null if it was not queried or did not answer.
   const BackendReport* Find(const Backend& backend) const {
     const auto found = backends.find(HashOf(backend));
     return found == backends.end() ? nullptr : &found->second;
--- a/libs/gateway/include/gateway/placement.h
+++ b/libs/gateway/include/gateway/placement.h
@@ -1,4 +1,4 @@
-// Chooses the backend server for a request: shared prompt parts, work ahead, distance.
+// Chooses the backend server for a request by cached prompt parts, queued work and distance.
 
 #pragma once
 
@@ -18,13 +18,13 @@
 
 namespace ridgehold {
 
-/// A prompt's shared parts as a chain: each hash stands for a part and all before it.
+/// A prompt's shared parts as a hash chain: each hash covers a part and all parts before it.
 struct PromptChain {
-  std::vector<SharedPart> parts;    ///< without the request's own last part
-  std::uint32_t shared_tokens = 0;  ///< of these parts
-  std::uint32_t prompt_tokens = 0;  ///< of the whole prompt
+  std::vector<SharedPart> parts;    ///< excludes the last part, which is the request's own
+  std::uint32_t shared_tokens = 0;  ///< tokens in these parts
+  std::uint32_t prompt_tokens = 0;  ///< tokens in the whole prompt
 
-  /// `scope` keeps chains apart that may not share cache entries.
+  /// Prompts with different `scope` get different hashes, so they share no cache entries.
   static PromptChain Of(const GenerationRequest& request, std::string_view scope);
 
   std::uint32_t own_tokens() const {
@@ -32,113 +32,114 @@
   }
 };
 
-/// Fewer shared tokens than this are read again sooner than fetched.
+/// Prefixes with fewer shared tokens than this are recomputed sooner than fetched.
 inline constexpr std::uint32_t kMinFetchTokens = 256;
 
-/// Figures the choice weighs; each in milliseconds unless it says otherwise.
+/// Parameters of the placement cost model, in milliseconds unless stated otherwise.
 struct PlacementCosts {
-  /// Speed of an engine until its first answers tell (PrefillRateEstimator).
+  /// Prefill rate of an engine in tokens/ms until it can be estimated (PrefillRateEstimator).
   double prefill_tokens_per_ms = 56;
-  /// What a request that runs already adds to the wait for a first event.
+  /// Added to the wait for the first event by each running request.
   double per_running_request = 0.6;
-  /// A round trip to another zone, and the price of bytes between zones.
+  /// Round trip to another zone, and the price of traffic between zones.
   double other_zone = 6;
-  /// Fetching shared parts from another engine: the call, and each token;
-  /// twice that from another zone.
+  /// Cost of fetching shared parts from another engine, for each call and each token; doubled if it
+  /// is in another zone.
   double fetch_call = 8;
   double fetch_token = 0.001;
-  /// The same from a store of kept cache, whose link is slower.
+  /// The same for a KV cache store, whose link is slower.
   double store_call = 10;
   double store_token = 0.006;
-  /// Reading takes an engine's time from all that wait there; so many times its
-  /// own time a fetch may take instead.
+  /// Prefill delays every request queued on the engine, so a fetch may take this many times the
+  /// prefill time that it saves.
   double reprefill_factor = 2;
-  /// Off: the settings' speed holds, whatever first events tell.
+  /// If false, `prefill_tokens_per_ms` is used whatever the first events show.
   bool observe_speed = true;
-  /// Off: where there is a store, parts come from it alone.
+  /// If false, parts are fetched only from the store where there is one.
   bool engines_as_sources = true;
-  /// Off: links are taken to be idle.
+  /// If false, links are assumed to be idle.
   bool watch_links = true;
-  /// Each token of a second copy takes the place of something else. On the
-  /// grown fleets 0.008 and 0.02 were alike and better than 0.002.
+  /// Cost of each token of a second copy, which evicts something else. On the larger fleets 0.008
+  /// and 0.02 gave similar results, both better than 0.002.
   double copy_token = 0.01;
-  /// What a call to a plain service adds to the wait of the next one.
+  /// Added to the wait of the next call by each running call to a plain service.
   double per_running_call = 20;
-  /// How much a backend server whose answers all fail is worse than others.
+  /// Cost of a backend server whose answers all fail.
   double error_penalty = 400;
-  /// How much older weights are worse than the newest, once those are old news.
+  /// Cost of older weights once the newest were announced `older_weights_free` ago.
   double older_weights = 150;
-  /// Requests may begin on older weights this long without being worth less.
+  /// Older weights cost nothing for this long after newer ones were announced.
   std::chrono::milliseconds older_weights_free{1'000};
-  /// Parts are read and can be fetched this long after they were brought.
+  /// Parts are assumed to be prefilled, and can be fetched, this long after they were added.
   std::chrono::milliseconds prefill_delay{250};
-  /// Parts in this part of an engine's memory, counted from those that go next,
-  /// may be evicted already: what runs there and what other gateways sent a
-  /// moment ago is not all known. A fetch costs 1 ms if they are there.
+  /// The least recently used fraction of an engine's memory that may already be evicted: running
+  /// requests and recent placements by other gateways are not fully known. Fetching parts that are
+  /// cached after all costs 1 ms.
   double eviction_risk_fraction = 0.3;
-  /// An engine that is to get no new requests is chosen only before none.
+  /// Cost of an engine that gets no new requests for now, so that it is chosen only if there is no
+  /// other.
   double hold_penalty = 3'000;
-  /// One whose tracking gateway was asked and gave no answer may have as much to
-  /// read as this: more than an engine has in the mean, less than a full one.
+  /// Cost of an engine whose tracking gateway did not answer the load query. It may have a prefill
+  /// queue of this length: longer than the average engine's and shorter than a full one's.
   double no_report_penalty = 100;
 };
 
-/// The store of kept cache that keeps a prompt's parts.
+/// The KV cache store responsible for a prompt's parts.
 struct KvStoreView {
   ZoneId zone;
   LinkHash link = 0;
-  double ms_per_token = 0;            ///< over its link; 0: as the weights say
-  const EngineCache* kept = nullptr;  ///< what it has, see StoredPart; null: taken to have all
+  double ms_per_token = 0;                ///< over its link; 0: use PlacementCosts
+  const EngineCache* contents = nullptr;  ///< estimated; null: assumed to hold everything
 };
 
-/// A part as stores keep it: parts of other weights are others.
+/// The key of a part in a store. Parts of different weights have different keys.
 SharedPart StoredPart(const SharedPart& part, WeightsNumber weights);
 std::vector<SharedPart> StoredParts(std::span<const SharedPart> parts, WeightsNumber weights);
 
-/// What the choice is made for.
+/// The request and the state that a placement is chosen for.
 struct PlacementQuery {
   ZoneId own_zone;
-  const PromptChain* chain = nullptr;  ///< null for calls of plain services
+  const PromptChain* chain = nullptr;  ///< null for calls to plain services
   ModelId model;
   std::optional<WeightsNumber> newest_weights;
-  std::optional<TimePoint> newest_since;  ///< when they were named
-  std::uint64_t cache_tokens = 0;         ///< memory of one engine
-  std::optional<KvStoreView> store;       ///< of kept cache, if there is one
-  const TransferLinks* links = nullptr;   ///< null: taken to be idle
-  /// What the gateways say that track the candidates; null: all is known here.
+  std::optional<TimePoint> newest_since;  ///< when they were announced
+  std::uint64_t cache_tokens = 0;         ///< memory of one engine, in tokens
+  std::optional<KvStoreView> store;       ///< the KV cache store, if there is one
+  const TransferLinks* links = nullptr;   ///< null: assumed to be idle
+  /// The reports of the gateways that track the candidates; null if everything is known here.
   const LoadAnswer* answers = nullptr;
-  double engine_ms_per_token = 0;    ///< over an engine's link; 0: as the weights say
-  RingSegment segment;               ///< of the engines that keep the prompt's beginning
-  double unheard_gateway_ratio = 0;  ///< requests of unheard gateways for each own one
-  double tokens_per_ms = 0;          ///< at which engines read; 0: as the weights say
+  double engine_ms_per_token = 0;    ///< over an engine's link; 0: use PlacementCosts
+  RingSegment segment;               ///< engines responsible for the prompt's first part
+  double unheard_gateway_ratio = 0;  ///< requests of unheard gateways per own request
+  double tokens_per_ms = 0;          ///< prefill rate of the engines; 0: use PlacementCosts
   std::uint64_t tie_break = 0;
   TimePoint now{};
 };
 
-/// Where shared parts can be fetched from.
+/// A source to fetch shared parts from.
 struct CacheSource {
-  std::optional<std::size_t> engine;  ///< another candidate; none: the store
-  std::uint32_t tokens = 0;           ///< of the chain that it has
-  double ms = 0;                      ///< until they are there, with the wait for the link
-  double link_ms = 0;                 ///< of that, what the link is busy
+  std::optional<std::size_t> engine;  ///< index of another candidate; none: the store
+  std::uint32_t tokens = 0;           ///< tokens of the chain that it holds
+  double ms = 0;                      ///< until they are fetched, including the wait for the link
+  double link_ms = 0;                 ///< of that, how long the link is occupied
 };
 
-/// The chosen one and why.
+/// The chosen candidate and the estimates behind the choice.
 struct Placement {
   std::size_t index = 0;
-  double cost = 0;                  ///< milliseconds it is expected to take, with prices
-  double first_event_ms = 0;        ///< of that, until the prompt is read
-  double queue_ms = 0;              ///< of that, until what was sent before has been read
-  double queued_tokens = 0;         ///< those tokens
-  std::uint32_t cached_tokens = 0;  ///< expected to be in its cache, or fetched into it
-  std::uint32_t known_tokens = 0;   ///< of those, what it has without a fetch
-  /// Where parts come from that the chosen one lacks.
+  double cost = 0;                  ///< expected milliseconds, including penalties
+  double first_event_ms = 0;        ///< of that, until the prompt is prefilled
+  double queue_ms = 0;              ///< of that, until previously sent prompts are prefilled
+  double queued_tokens = 0;         ///< tokens in those prompts
+  std::uint32_t cached_tokens = 0;  ///< expected in its cache, including fetched parts
+  std::uint32_t known_tokens = 0;   ///< of these, tokens held without a fetch
+  /// Where to fetch the parts that the chosen candidate lacks.
   std::optional<CacheSource> source;
-  bool lacks_parts = false;     ///< shared parts are not expected in its own cache
-  bool may_lack_parts = false;  ///< they are, but may have been evicted
+  bool lacks_parts = false;     ///< not all shared parts are expected in its cache
+  bool may_lack_parts = false;  ///< they are expected, but may have been evicted
 };
 
-/// Returns the cheapest of `candidates`, which are never none. Pure.
+/// Returns the candidate with the lowest cost. `candidates` must not be empty. Pure.
 Placement ChooseBackend(const PlacementQuery& query, std::span<const BackendPtr> candidates,
                         const PlacementCosts& costs);
 
--- a/libs/gateway/include/gateway/polled_choice.h
+++ b/libs/gateway/include/gateway/polled_choice.h
@@ -1,4 +1,4 @@
-// Choosing a backend server in a large fleet: a few candidates are asked about first.
+// Chooses a backend server in a large fleet by polling a few candidates for their load.
 
 #pragma once
 
@@ -11,15 +11,15 @@
 
 namespace ridgehold {
 
-/// A choice, or nothing if no backend server can take the request.
+/// The chosen backend server, or nothing if none can take the request, and the cost of polling.
 struct PolledChoice {
   std::optional<BackendChoice> choice;
   PollRecord poll;
 };
 
-/// Like ChooseFor, among a shortlist. With 295 gateways before 240 engines nobody
-/// can hear of every request in time; a question takes a round trip, and what it
-/// tells is true. The arguments outlive the call.
+/// Like ChooseFor, among a shortlist whose load is queried first. With 295 gateways in front of 240
+/// engines, gossip cannot reach every gateway in time to describe each request; a query costs one
+/// round trip and returns current load. The referenced arguments must outlive the call.
 net::awaitable<PolledChoice> PollAndChoose(GatewayState& state, const ExchangePlan& plan,
                                            const InboundRequest& request,
                                            const std::set<BackendId>& tried);
--- a/libs/gateway/include/gateway/prefill_rate.h
+++ b/libs/gateway/include/gateway/prefill_rate.h
@@ -1,4 +1,4 @@
-// How fast a service's engines read prompts, estimated from the first events of requests.
+// Estimates the prefill rate of a service's engines from the first events of requests.
 
 #pragma once
 
@@ -8,35 +8,36 @@
 
 namespace ridgehold {
 
-/// The speed that decisions need is the one at which waiting goes down: of all
-/// engines of a service, beside whatever else runs there. It differs by a third
-/// between deployments, and a wait that is taken for shorter than it is fills
-/// engines until every request is late. Not thread-safe.
+/// Estimates the rate at which queued prompt tokens are processed, averaged over all engines of a
+/// service and including the effect of whatever else runs there. The rate differs by a third
+/// between deployments, and underestimating the wait fills engines until every request is late. Not
+/// thread-safe.
 class PrefillRateEstimator {
  public:
-  /// Fewer tokens tell of round trips and single steps rather than of reading.
+  /// Samples with fewer tokens are ignored: they measure round trips and decode steps rather than
+  /// prefill.
   static constexpr double kMinTokens = 1'000;
-  /// Round trip, call and the step in which the first event is made; 15 to 30 ms
-  /// were seen for prompts of a few hundred tokens at idle engines.
+  /// Time not spent on prefill: the round trip, the call and the step that produces the first
+  /// event. 15 to 30 ms were measured for prompts of a few hundred tokens on idle engines.
   static constexpr std::chrono::milliseconds kFixedOverhead{20};
-  /// The first figure counts like so many tokens that were seen to be read.
+  /// Weight of the prior, in sampled tokens.
   static constexpr double kPriorTokens = 30'000;
-  /// Part that older samples keep with each new one: the last thirty or so
-  /// decide, some 10 s of one gateway's requests.
+  /// Decay factor applied to older samples by each new one. About the last thirty samples dominate,
+  /// some 10 s of one gateway's requests.
   static constexpr double kDecay = 0.97;
-  /// Bounds against samples that measure something else: a wait for a fetch, a
-  /// stalled engine, parts that were found after all.
+  /// Bounds on each sample relative to the prior, because some samples measure something else: a
+  /// wait for a fetch, a stalled engine, or parts that were cached after all.
   static constexpr double kMinRateFactor = 0.25;
   static constexpr double kMaxRateFactor = 2;
 
-  /// `prior` in tokens a millisecond, from the settings.
+  /// `prior`: the rate from the settings, in tokens/ms.
   explicit PrefillRateEstimator(double prior);
 
-  /// A first event came `waited` after its request was sent to an engine that
-  /// had `tokens` left to read by then, those of the request included.
+  /// Records that a first event came `waited` after its request was sent to an engine with `tokens`
+  /// left to prefill at that time, including the request's own.
   void Record(double tokens, Duration waited);
 
-  /// Tokens a millisecond, within bounds around the prior.
+  /// The estimated rate in tokens/ms, within bounds around the prior.
   double tokens_per_ms() const;
 
  private:
--- a/libs/gateway/include/gateway/prefix_shares.h
+++ b/libs/gateway/include/gateway/prefix_shares.h
@@ -1,4 +1,4 @@
-// How the prompts' work divides by their first part: which engines keep which beginnings.
+// Divides the engines among the prompts' first parts, by the tokens that each brings to caches.
 
 #pragma once
 
@@ -10,32 +10,31 @@
 
 namespace ridgehold {
 
-/// A piece of the circle [0, 1).
+/// A segment of the hash ring [0, 1).
 struct RingSegment {
   double begin = 0;
   double length = 1;
 };
 
-/// Prompts that begin alike share their first part; were they spread over all
-/// engines, every engine would keep every beginning, once for each isolated
-/// workspace. So each beginning has a segment of the engines, as long as its
-/// share of the tokens that caches take in. In a small fleet all gateways hear of
-/// all placed requests, so their segments differ by little; in a large one see
-/// SampledShares. Not thread-safe.
+/// Prompts with the same beginning share their first part. If they were spread over all engines,
+/// every engine would cache every first part, once for each isolated workspace. Therefore each
+/// first part is assigned a ring segment of the engines, as long as its share of the tokens added
+/// to caches. In a small fleet every gateway hears of all placed requests, so the segments computed
+/// by different gateways differ little; for large fleets see SampledShares. Not thread-safe.
 class PrefixShares {
  public:
-  /// Counts are halved this often: long enough to be steady (a few hundred
-  /// beginnings at some hundred requests a second), short enough to follow the day.
+  /// Interval at which counts are halved. Long enough for steady shares (a few hundred first parts
+  /// at some hundred requests per second), short enough to follow daily load changes.
   static constexpr std::chrono::seconds kHalfLife{10};
 
-  /// A request whose prompt begins with `first` brought `tokens` to a cache.
+  /// Records that a request with this first part added `tokens` to a cache.
   void Record(std::uint64_t first_part, double tokens, TimePoint now);
 
-  /// The tokens noted for a beginning, and for all.
+  /// The tokens recorded for a first part, and in total.
   double TokensOf(std::uint64_t first_part) const;
   double total() const { return total_; }
 
-  /// Beginnings that were never noted have a segment without length.
+  /// The segment of a first part; its length is zero if the first part was never recorded.
   RingSegment SegmentOf(std::uint64_t first_part) const;
 
  private:
--- a/libs/gateway/include/gateway/prompt_sizes.h
+++ b/libs/gateway/include/gateway/prompt_sizes.h
@@ -1,4 +1,4 @@
-// How long the prompts of a service's requests are.
+// Tracks the average prompt length for each service.
 
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace ridgehold {
 
-/// A moving mean for each service. Not thread-safe.
+/// An exponential moving average for each service. Not thread-safe.
 class PromptSizes {
  public:
   void Record(const ServiceId& service, std::uint32_t tokens) {
@@ -17,14 +17,14 @@
     if (!is_new) entry->second += kSmoothing * (tokens - entry->second);
   }
 
-  /// Whether the prompt is far shorter than the mean.
+  /// Whether the prompt is much shorter than the average.
   bool IsSmall(const ServiceId& service, std::uint32_t tokens) const {
     const auto found = means_.find(service);
     return found != means_.end() && tokens < kSmallFraction * found->second;
   }
 
  private:
-  /// Some fifty requests count.
+  /// The average covers about the last fifty requests.
   static constexpr double kSmoothing = 0.02;
   static constexpr double kSmallFraction = 0.5;
 
--- a/libs/gateway/include/gateway/request_fingerprint.h
+++ b/libs/gateway/include/gateway/request_fingerprint.h
@@ -1,4 +1,4 @@
-// What makes two requests the same work, whoever of their caller sends them, and where.
+// Fingerprint that identifies repeated requests of a workspace.
 
 #pragma once
 
@@ -11,17 +11,17 @@
 
 namespace ridgehold {
 
-/// Equal for requests that ask for the same: same workspace, method, host, path
-/// with its query, and body, byte by byte. The request's id, its deadline and all
-/// other header fields do not matter. Requests of two workspaces always differ.
+/// Equal for requests of one workspace with the same method, host, path with query, and body, byte
+/// by byte. The request id, the deadline and all other header fields are ignored. Requests of
+/// different workspaces have different fingerprints.
 using RequestFingerprint = Strong<struct RequestFingerprintTag, std::uint64_t>;
 
-/// `workspace` is empty on public routes. XXH3 over the whole body: some 0.1 us
-/// a kilobyte.
+/// `workspace` is empty on public routes. Runs XXH3 over the whole body, which takes about 0.1 us
+/// per kilobyte.
 RequestFingerprint FingerprintOf(const WorkspaceId& workspace, const InboundRequest& inbound,
                                  const RequestMessage& request);
 
-/// 16 hexadecimal digits, as in log lines and in the store.
+/// Formats the fingerprint as 16 hexadecimal digits, as in log lines and in the store.
 std::string ToText(RequestFingerprint fingerprint);
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/request_log.h
+++ b/libs/gateway/include/gateway/request_log.h
@@ -1,4 +1,4 @@
-// The log lines and metrics of a request: one line at its end, one for each attempt that failed.
+// Log lines and metrics of requests: one line for each request and one for each failed attempt.
 
 #pragma once
 
@@ -19,73 +19,74 @@
 
 class GatewayState;
 
-/// A request that was sent to an engine with weights that were not the newest,
-/// or whose weights were no longer the newest when it began.
+/// A request that was sent to an engine whose weights were not the newest, or were no longer the
+/// newest when it began.
 struct OlderWeightsUse {
   WeightsNumber weights;
-  WeightsNumber newer;         ///< the number that outdated them
-  Duration age_when_sent{0};   ///< of that naming, as this gateway counts; 0: named later
-  Duration age_when_begun{0};  ///< the same at the first event; 0: none came
-  bool assumed = false;        ///< the naming's moment was a guess
+  WeightsNumber newer;         ///< the announced number that superseded them
+  Duration age_when_sent{0};   ///< age of that announcement as known here; 0: announced later
+  Duration age_when_begun{0};  ///< its age at the first event; 0: no event came
+  bool assumed = false;        ///< the time of the announcement was assumed
 };
 
-/// What a choice cost in questions to other gateways.
+/// The cost of polling other gateways for one placement.
 struct PollRecord {
-  std::uint32_t asked = 0;     ///< backend servers
-  std::uint32_t answered = 0;  ///< of them, by the gateways that track them, in time
+  std::uint32_t asked = 0;     ///< backend servers queried
+  std::uint32_t answered = 0;  ///< of these, answered in time by the gateways that track them
   Duration took{0};
 };
 
-/// What the backend server had asked of this gateway when a request was sent there.
+/// What the backend server had requested of this gateway, in its notices, when an attempt was sent.
 struct NoticeRecord {
   std::optional<RequestRate> limit;
   bool leaving = false;
   Duration rest_left{0};
-  Duration age{0};  ///< of its last notice to this gateway
+  Duration age{0};  ///< age of its last notice to this gateway
 };
 
-/// What is remembered of a request for its line.
+/// The data of a request that its log line shows.
 struct RequestRecord {
   RequestId request;
   WorkspaceId workspace;
   RuleId route;
   ServiceId service;
-  RequestFingerprint fingerprint;  ///< zero: the request was refused before its route was known
-  BackendId backend;               ///< the last one tried
+  RequestFingerprint fingerprint;  ///< zero if the request was refused before its route was known
+  BackendId backend;               ///< of the last attempt
   TimePoint received{};
-  Duration deferred{0};  ///< waited here for room at an engine
+  Duration deferred{0};  ///< time spent waiting for capacity
   std::optional<TimePoint> first_event;
   std::uint32_t attempts = 0;
-  // What decided the last choice of a backend server.
+  // The estimates behind the last placement.
   PollRecord poll;
   double expected_ms = 0;
-  double first_event_ms = 0;  ///< expected until the prompt is read
+  double first_event_ms = 0;  ///< expected time until the prompt is prefilled
   double tokens_to_read = 0;
-  std::uint32_t shared_tokens = 0;       ///< of the prompt
-  std::uint32_t known_tokens = 0;        ///< of those, what the engine was taken to have
-  std::uint64_t shared_parts = 0;        ///< hash of them; 0: none
-  std::uint32_t running_at_backend = 0;  ///< of all gateways
+  std::uint32_t shared_tokens = 0;       ///< shared tokens of the prompt
+  std::uint32_t known_tokens = 0;        ///< of these, tokens expected in the engine's cache
+  std::uint64_t shared_parts = 0;        ///< hash of the shared parts; 0: none
+  std::uint32_t running_at_backend = 0;  ///< requests of all gateways on that backend server
   std::string fetched_from;
   std::optional<OlderWeightsUse> older_weights;
-  std::optional<NoticeRecord> backend_notice;  ///< none: nothing, as far as is known here
-  Permit permit;                               ///< of the last attempt, if its server names a limit
-  std::uint32_t permits_refused = 0;           ///< by whoever counts, at any server
-  std::optional<QuotaOutcome> quota;           ///< none: the workspace has no quota
-  std::uint64_t quota_tokens = 0;              ///< what the request needs of it
-  Duration quota_latency{0};                   ///< until it was known
-  int status = 0;                              ///< sent to the caller
+  std::optional<NoticeRecord> backend_notice;  ///< none if no notice is known here
+  Permit permit;  ///< of the last attempt, if its backend server has a rate limit
+  std::uint32_t permits_refused =
+      0;  ///< refusals by the instances that keep count, for any backend server
+  std::optional<QuotaOutcome> quota;  ///< none if the workspace has no quota
+  std::uint64_t quota_tokens = 0;     ///< tokens that the request takes of it
+  Duration quota_latency{0};          ///< time until the verdict was known
+  int status = 0;                     ///< HTTP status sent to the caller
   ResultCode code = ResultCode::kOk;
   bool retry_budget_exhausted = false;
   std::string detail;
 };
 
-/// Nothing if it has asked for nothing that this gateway has heard of.
+/// The notices of the backend server known here; nothing if there are none.
 std::optional<NoticeRecord> NoticeRecordOf(const Backend& backend, TimePoint now);
 
-/// Writes the request's line and counts it.
+/// Writes the log line of a finished request and updates its metrics.
 void LogRequest(GatewayState& state, const RequestRecord& record);
 
-/// Writes the line of an attempt that was not the last word.
+/// Writes the log line of a failed attempt and updates its metrics.
 void LogAttempt(GatewayState& state, const RequestRecord& record, const Backend& backend,
                 const AttemptFacts& facts, ResultCode code, NextStep step);
 
--- a/libs/gateway/include/gateway/routing_snapshot.h
+++ b/libs/gateway/include/gateway/routing_snapshot.h
@@ -1,4 +1,5 @@
-// What the operator's configuration says, as of one version: routes, services, workspaces, limits.
+// An immutable snapshot of one version of the configuration: routes, services, workspaces and
+// limits.
 
 #pragma once
 
@@ -18,35 +19,35 @@
 
 namespace ridgehold {
 
-/// The operator's number of a configuration; rises, not always by one.
+/// The version number of a configuration; increases, not always by one.
 using ConfigVersion = Strong<struct ConfigVersionTag, std::uint64_t>;
 
-/// What may be repeated on a route.
+/// Whether requests of a route may be repeated.
 enum class RouteKind : std::uint8_t {
   kSafe,    ///< may run more than once
   kUnsafe,  ///< may run at most once
-  kStream,  ///< answers with events; like kUnsafe unless resumable
+  kStream,  ///< answers with a stream of events; like kUnsafe unless resumable
 };
 
-/// One of the services that a route's requests are spread over.
+/// One of the services among which a route's requests are distributed.
 struct WeightedTarget {
   ServiceId service;
   std::uint32_t weight = 1;
 };
 
-/// How requests of a host and path prefix are handled.
+/// How requests for a host and path prefix are handled.
 struct RouteRule {
   RuleId id;
   std::string host;         ///< lower case, without a port
   std::string path_prefix;  ///< begins and ends with a slash
   RouteKind kind = RouteKind::kSafe;
-  std::chrono::milliseconds timeout{0};  ///< the longest a request may wait for its answer
-  std::chrono::milliseconds latency_objective{0};  ///< streams: until the first event
-  std::chrono::milliseconds pause_objective{0};    ///< streams: between two events
+  std::chrono::milliseconds timeout{0};            ///< maximum time until the answer
+  std::chrono::milliseconds latency_objective{0};  ///< streams: time to the first event
+  std::chrono::milliseconds pause_objective{0};    ///< streams: time between two events
   int priority = 0;                                ///< 0 is the most urgent
-  std::uint32_t max_attempts = 1;                  ///< backend servers that may run one request
-  bool is_public = false;                          ///< needs no key
-  bool caches_prompts = false;                     ///< requests name the parts of their prompts
+  std::uint32_t max_attempts = 1;  ///< maximum number of backend servers that may run one request
+  bool is_public = false;          ///< requires no API key
+  bool caches_prompts = false;     ///< requests list the parts of their prompts
   bool resumable = false;
   std::vector<WeightedTarget> targets;
 
@@ -56,42 +57,42 @@
   }
 };
 
-/// What the configuration says of the engines of a service.
+/// The engine settings of a service.
 struct EngineProfile {
-  std::uint32_t slots = 1;            ///< requests that run at once
-  std::uint64_t cache_tokens = 0;     ///< memory, in tokens
-  std::uint32_t max_event_polls = 0;  ///< waiting polls for cache events, from all callers
-  double token_bytes = 0;             ///< of KV cache; 0: not known
-  double link_mbps = 0;               ///< over which KV cache moves; 0: not known
+  std::uint32_t slots = 1;            ///< maximum concurrent requests
+  std::uint64_t cache_tokens = 0;     ///< KV cache memory, in tokens
+  std::uint32_t max_event_polls = 0;  ///< concurrent long polls for cache events, from all callers
+  double token_bytes = 0;             ///< bytes of KV cache per token; 0: not known
+  double link_mbps = 0;  ///< bandwidth of the link for KV cache transfers; 0: not known
 };
 
-/// A store of kept KV cache.
+/// A KV cache store.
 struct KvCacheStore {
   std::string address;
   ZoneId zone;
-  std::uint64_t cache_tokens = 0;  ///< that it has room for; 0: not known
+  std::uint64_t cache_tokens = 0;  ///< capacity, in tokens; 0: not known
   double link_mbps = 0;            ///< 0: not known
 };
 
-/// A service that routes name.
+/// A service that routes refer to.
 struct ServiceRule {
   ServiceId id;
   std::string health_path;
-  std::uint32_t max_connections = 0;  ///< for each of its backend servers, from all callers
+  std::uint32_t max_connections = 0;  ///< for each backend server, from all callers
   std::optional<EngineProfile> engine;
   std::optional<KvCacheStore> kv_store;
 };
 
-/// A workspace and who may act for it.
+/// A workspace and its API keys.
 struct WorkspaceRule {
   WorkspaceId id;
   std::vector<std::string> keys;
-  std::optional<int> priority;  ///< goes before the route's
+  std::optional<int> priority;  ///< overrides the route's
   bool isolated = false;        ///< shares no cache entries with other workspaces
   std::optional<WorkspaceQuota> quota;
 };
 
-/// What a caller may send and how long it may take.
+/// Limits on the size and duration of callers' requests.
 struct CallerLimits {
   std::uint32_t max_header_bytes = 16 << 10;
   std::uint64_t max_body_bytes = 4 << 20;
@@ -99,7 +100,7 @@
   std::chrono::milliseconds idle_timeout{15'000};
 };
 
-/// Everything a configuration holds, in no particular order.
+/// The contents of a configuration, in no particular order.
 struct RoutingConfig {
   ConfigVersion version;
   std::vector<RouteRule> routes;
@@ -108,28 +109,27 @@
   CallerLimits limits;
 };
 
-/// Immutable, so that a request is handled under one version from end to end.
+/// Immutable, so that each request is handled under one version throughout.
 class RoutingSnapshot {
  public:
-  /// Fails with kInvalidCommand when a route names a service that is not there
-  /// or two routes have the same host and prefix.
+  /// Fails with kInvalidCommand if a route refers to an unknown service or has no service, or if
+  /// two routes have the same host and prefix.
   static Result<std::shared_ptr<const RoutingSnapshot>> Create(RoutingConfig parts);
 
-  /// Returns the route of `host` with the longest prefix that begins `path`, or null.
+  /// Returns the route of `host` with the longest prefix that matches `path`, or null.
   const RouteRule* FindRoute(std::string_view host, std::string_view path) const;
 
-  /// Returns the workspace that holds `key`, or null.
+  /// Returns the workspace that has the API key, or null.
   const WorkspaceRule* FindWorkspace(const std::string& key) const;
 
   const ServiceRule* FindService(const ServiceId& id) const;
 
-  /// Returns the store that keeps the KV cache of the prompt parts with this
-  /// hash, or null where there is no store. All gateways pick the same one of
-  /// several, and a store that comes or goes moves only its own share.
+  /// Returns the store for the KV cache of the prompt parts with this hash, or null if there is no
+  /// store. All gateways pick the same store by rendezvous hashing, so adding or removing a store
+  /// moves only that store's share.
   const KvCacheStore* KvStoreFor(std::uint64_t parts) const;
 
-  /// The shortest latency objective of the streaming routes to a service; zero
-  /// where none has one.
+  /// The shortest latency objective of the streaming routes to a service; zero if none has one.
   std::chrono::milliseconds ShortestObjective(const ServiceId& service) const;
 
   ConfigVersion version() const { return parts_.version; }
@@ -138,7 +138,7 @@
   const std::vector<RouteRule>& routes() const { return parts_.routes; }
   std::span<const WorkspaceRule> workspaces() const { return parts_.workspaces; }
   bool has_workspaces() const { return !parts_.workspaces.empty(); }
-  /// Whether any workspace has one.
+  /// Whether any workspace has a quota.
   bool has_quotas() const { return has_quotas_; }
 
  private:
@@ -148,7 +148,7 @@
   void IndexObjective(const RouteRule& route);
 
   RoutingConfig parts_;
-  /// Keyed by host, a newline and prefix.
+  /// Keyed by host, newline and prefix.
   std::unordered_map<std::string, std::size_t> routes_;
   std::unordered_map<std::string, std::size_t> keys_;
   bool has_quotas_ = false;
@@ -156,7 +156,7 @@
   std::unordered_map<ServiceId, std::chrono::milliseconds> shortest_objectives_;
 };
 
-/// Picks one of a route's services by weight; equal requests get the same one.
+/// Picks one of a route's services by weight; equal request ids get the same one.
 const ServiceId& PickTarget(const RouteRule& route, const RequestId& request);
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/sampled_shares.h
+++ b/libs/gateway/include/gateway/sampled_shares.h
@@ -1,4 +1,4 @@
-// The shares of prompts' beginnings in a large fleet, from samples of many gateways.
+// Estimates the shares of the prompts' first parts in a large fleet from samples of many gateways.
 
 #pragma once
 
@@ -11,23 +11,22 @@
 
 namespace ridgehold {
 
-/// A gateway of hundreds sees a few requests a second, far too few to tell the
-/// beginnings' shares (PrefixShares), and segments that differ between gateways
-/// would put a prompt on several engines. So each answer to a question tells what
-/// the answering gateway has seen of the prompt's beginning: a hundred answers are
-/// as good as the fleet's whole traffic of a second. Not thread-safe; time comes
-/// in as a value.
+/// In a fleet of hundreds, each gateway sees a few requests per second, too few to estimate the
+/// shares of first parts (PrefixShares), and segments that differ between gateways would place one
+/// prompt on several engines. Therefore each answer to a load query contains what the answering
+/// gateway has seen of the prompt's first part; a hundred answers carry as much information as one
+/// second of the whole fleet's traffic. Not thread-safe; the caller passes in the time.
 class SampledShares {
  public:
-  /// Samples are halved this often: enough of them to be steady, and fresh enough
-  /// to follow the day.
+  /// Interval at which samples are halved: long enough for steady shares, short enough to follow
+  /// daily load changes.
   static constexpr std::chrono::seconds kHalfLife{5};
 
-  /// A gateway has seen requests bring `total` tokens to caches, `tokens` of them
-  /// with this beginning.
+  /// Records that a gateway has seen requests add `total` tokens to caches, `tokens` of them with
+  /// this first part.
   void Record(std::uint64_t first_part, double tokens, double total, TimePoint now);
 
-  /// Its segment of the circle; the whole circle while nothing is known of it.
+  /// The ring segment of a first part; the whole ring if nothing is known of it.
   RingSegment SegmentOf(std::uint64_t first_part) const;
 
  private:
--- a/libs/gateway/include/gateway/shortlist.h
+++ b/libs/gateway/include/gateway/shortlist.h
@@ -1,4 +1,4 @@
-// The few backend servers that a gateway of a large fleet asks about before it places a request.
+// Selects the few backend servers that a gateway in a large fleet polls before it places a request.
 
 #pragma once
 
@@ -13,45 +13,44 @@
 
 namespace ridgehold {
 
-/// What the list is made for.
+/// The request and the state that a shortlist is made for.
 struct ShortlistQuery {
   ZoneId own_zone;
-  std::uint64_t gateway = 0;           ///< hash that differs by gateway
-  const PromptChain* chain = nullptr;  ///< null for calls of plain services
+  std::uint64_t gateway = 0;           ///< hash that identifies this gateway
+  const PromptChain* chain = nullptr;  ///< null for calls to plain services
   ModelId model;
   std::optional<WeightsNumber> newest_weights;
-  RingSegment segment;            ///< of the engines that keep the prompt's beginning
-  std::uint64_t random_seed = 0;  ///< differs by request
+  RingSegment segment;  ///< ring segment of the engines responsible for the prompt's first part
+  std::uint64_t random_seed = 0;  ///< differs for each request
   TimePoint now{};
 };
 
-/// How many of each kind are asked about. A question costs a datagram each way,
-/// so few; two drawn ones are as good as knowing the least busy of many
-/// (the power of two choices).
+/// How many candidates of each kind are polled. A query costs one datagram each way, so the numbers
+/// are small; two random candidates perform almost as well as knowing the least loaded of many (the
+/// power of two choices).
 struct ShortlistSizes {
-  std::size_t homes = 2;         ///< of a prompt that shares much, over all zones
-  std::size_t random_picks = 2;  ///< of the own zone, beside them
-  /// Engines of the own zone that a gateway uses for prompts that share little
-  /// and for plain calls; so few that connections there are used again before
-  /// servers close them.
+  std::size_t homes = 2;         ///< homes of a prompt with a long shared prefix, in any zone
+  std::size_t random_picks = 2;  ///< random candidates of the own zone, besides the homes
+  /// Engines of the own zone that a gateway uses for short prefixes and plain calls (deterministic
+  /// subsetting); few enough that connections are reused before servers close them.
   std::size_t subset_size = 6;
-  std::size_t subset_sample = 3;  ///< of these, drawn for each request
-  std::size_t extension = 4;      ///< more of all zones, when all of the first are busy
+  std::size_t subset_sample = 3;  ///< of these, polled for each request
+  std::size_t extension = 4;  ///< random candidates of any zone, if all of the first ones are busy
 };
 
-/// Candidates by rank of rendezvous hashing for the prompt, without regard to
-/// weights, the best first: prompts keep their homes while weights are loaded.
-/// Those whose hash lies in `segment` come before all others.
+/// The first `count` candidates in the order of rendezvous hashing for the prompt. Weights are
+/// ignored, so that prompts keep their homes while weights are loaded. Candidates whose hash lies
+/// in `segment` precede all others.
 std::vector<BackendPtr> HomesOf(const PromptChain& chain, const RingSegment& segment,
                                 std::span<const BackendPtr> candidates, std::size_t count);
 
-/// Whom to ask about first; at least one if there are `candidates`. Those that
-/// are to be avoided as far as is known here only when there are no others. Pure.
+/// The candidates to poll first; at least one if `candidates` is not empty. Candidates known to be
+/// unhealthy are used only if there are no others. Pure.
 std::vector<BackendPtr> Shortlist(const ShortlistQuery& query,
                                   std::span<const BackendPtr> candidates,
                                   const ShortlistSizes& sizes = {});
 
-/// More candidates of all zones, drawn, without those in `listed`. Pure.
+/// More random candidates of any zone, without those in `polled`. Pure.
 std::vector<BackendPtr> ExtendShortlist(const ShortlistQuery& query,
                                         std::span<const BackendPtr> candidates,
                                         std::span<const BackendPtr> polled,
--- a/libs/gateway/include/gateway/transfer_links.h
+++ b/libs/gateway/include/gateway/transfer_links.h
@@ -1,4 +1,4 @@
-// How long the links are busy over which KV cache is fetched and saved.
+// Tracks how long the links for KV cache transfers are busy.
 
 #pragma once
 
@@ -10,25 +10,24 @@
 
 namespace ridgehold {
 
-/// Stands for the address of an engine or a store of kept cache.
+/// Hash of the address of an engine or a KV cache store.
 using LinkHash = std::uint64_t;
 
 LinkHash LinkOf(std::string_view address);
 
-/// A link carries one transfer after the other, so what was sent for says when
-/// the next one ends. Gateways tell each other, or those that track the engines
-/// and stores, what they send for. Without
-/// this, fetches waited up to 2 s behind one store's link while those of the
-/// engines were idle. Not thread-safe; time comes in as a value.
+/// A link carries one transfer at a time, so the requested transfers determine when the next one
+/// can begin. Gateways report the transfers they request to each other or to the trackers of the
+/// engines and stores. Without this, fetches waited up to 2 s for one store's link while the
+/// engines' links were idle. Not thread-safe; the caller passes in the time.
 class TransferLinks {
  public:
-  /// Engines do not begin a transfer that would wait longer.
+  /// Engines do not begin a transfer that would have to wait longer.
   static constexpr std::chrono::milliseconds kMaxWait{2'000};
 
-  /// Until a transfer that is asked for now begins.
+  /// Time until a transfer requested now begins.
   Duration QueueDelay(LinkHash link, TimePoint now) const;
 
-  /// A transfer that takes `length` was asked for.
+  /// Records that a transfer that takes `duration` was requested.
   void Reserve(LinkHash link, Duration duration, TimePoint now);
 
  private:
--- a/libs/gateway/include/gateway/weights_history.h
+++ b/libs/gateway/include/gateway/weights_history.h
@@ -1,4 +1,4 @@
-// The weights that the operator has named, and when this gateway learned of each.
+// The weights versions that the operator announced, and when this gateway learned of each.
 
 #pragma once
 
@@ -15,45 +15,43 @@
 
 namespace ridgehold {
 
-/// Not thread-safe; time comes in as a value.
+/// Not thread-safe; the caller passes in the time.
 class WeightsHistory {
  public:
-  /// Numbers remembered of a model; by far more than are named within the
-  /// time that a rollout may take.
+  /// Versions kept for each model; far more than are announced during one rollout.
   static constexpr std::size_t kMaxEntries = 64;
 
-  /// One number of one model.
+  /// One announced version of one model.
   struct Announcement {
     WeightsNumber number;
     TimePoint at{};
-    bool assumed = false;  ///< `at` is a careful guess, not known
+    bool assumed = false;  ///< `at` is a conservative estimate
   };
 
-  /// Takes a number that was named at `at`. What is known replaces what was
-  /// assumed; of two alike the earlier moment holds. Returns whether the
-  /// number is newer than all known ones.
+  /// Records that `number` was announced at `at`. A known time replaces an assumed one; of two
+  /// known or two assumed times the earlier one holds. Returns whether the number is newer than all
+  /// known ones.
   bool Record(const ModelId& model, WeightsNumber number, TimePoint at, bool assumed = false);
 
   /// Called after each Record that changed something.
   void SetListener(std::function<void()> listener) { on_change_ = std::move(listener); }
 
-  /// All that is remembered, ascending by number.
+  /// All recorded announcements, in ascending order of their number.
   const std::map<ModelId, std::vector<Announcement>>& all() const { return announcements_; }
 
-  /// The newest number, if any was named.
+  /// The newest announced number, if any.
   std::optional<WeightsNumber> Newest(const ModelId& model) const;
 
-  /// When the newest was named.
+  /// When the newest number was announced.
   std::optional<TimePoint> NewestAnnouncedAt(const ModelId& model) const;
 
-  /// The naming since which `number` has not been the newest, at the latest;
-  /// nothing while it is.
+  /// The earliest announcement by which `number` was superseded; nothing while it is the newest.
   std::optional<Announcement> SupersededBy(const ModelId& model, WeightsNumber number) const;
 
-  /// Its moment alone.
+  /// The time of that announcement.
   std::optional<TimePoint> SupersededSince(const ModelId& model, WeightsNumber number) const;
 
-  /// Whether the moment of any naming is a guess, so that others are to be asked.
+  /// Whether the time of any announcement is assumed, so that peers should be asked for it.
   bool has_assumed_times() const {
     return std::ranges::any_of(announcements_, [](const auto& model) {
       return std::ranges::any_of(model.second, &Announcement::assumed);
--- a/libs/gateway/include/gateway/wire_format.h
+++ b/libs/gateway/include/gateway/wire_format.h
@@ -1,4 +1,4 @@
-// The concept that joins the gateway to a particular spelling of requests and answers.
+// Concept for the codec between the gateway and one HTTP representation of requests and answers.
 
 #pragma once
 
@@ -11,21 +11,21 @@
 
 namespace ridgehold {
 
-/// Header fields of a request, without its body.
+/// The header of a request, without its body.
 using RequestHead = http::request_header<>;
 
-/// Decodes what callers and backend servers send, and encodes what they are
-/// sent. Stateless; decides nothing.
+/// Decodes the messages of callers and backend servers and encodes those sent to them. Stateless;
+/// makes no decisions.
 template <class Wire>
 concept WireFormat = requires(const RequestHead& request_head, const RequestMessage& request,
                               const ResponseHead& answer_head, const AttemptDirectives& directives,
                               TimePoint now) {
   /// Fails with kMalformedRequest.
   { Wire::ReadRequest(request_head, now) } -> std::same_as<Result<InboundRequest>>;
-  /// The caller's request as one backend server gets it.
+  /// The caller's request as it is sent to a backend server.
   { Wire::MakeAttempt(request, directives) } -> std::same_as<RequestMessage>;
   { Wire::ReadAnswerHead(answer_head) } -> std::same_as<AnswerHead>;
-  /// The fields of a backend server's answer that are passed on to the caller.
+  /// The header fields of a backend server's answer that are forwarded to the caller.
   { Wire::MakeCallerHead(answer_head) } -> std::same_as<ResponseHead>;
 };
 
--- a/libs/gateway/src/backend_directory.cc
+++ b/libs/gateway/src/backend_directory.cc
@@ -6,10 +6,10 @@
 namespace ridgehold {
 namespace {
 
-// Without a first event for so long nothing is known of an engine's queue.
+// An observed wait older than this says nothing about an engine's current queue.
 constexpr std::chrono::milliseconds kWaitSampleTtl{3'000};
 
-/// Weights only move forward; an older number is late news.
+/// Weights only advance; a lower number is an outdated report.
 void AdvanceWeights(Backend& backend, const ModelId& model, WeightsNumber weights) {
   WeightsNumber& known = backend.weights[model];
   if (weights <= known) return;
@@ -51,7 +51,7 @@
   backend->grace_until.reset();
   backend->removed = false;
   for (const auto& [model, weights] : entry.weights) AdvanceWeights(*backend, model, weights);
-  // An entry that does not tell the start is of the process that is known.
+  // A registration without a start stamp belongs to the known process.
   const StartStamp started = std::max(entry.started, backend->entry.started);
   backend->entry = entry;
   backend->entry.started = started;
@@ -119,7 +119,8 @@
 void BackendDirectory::Replace(const std::vector<BackendEntry>& entries, Duration grace,
                                TimePoint now) {
   std::set<BackendId> listed;
-  // Which of two at one address is newer, the list does not tell.
+  // The list does not tell which of two entries at one address is newer, so none supersedes another
+  // listed one.
   for (const BackendEntry& entry : entries) {
     if (Classify(entry) != Registration::kStale) Supersede(entry);
   }
@@ -180,7 +181,7 @@
 void BackendDirectory::RecordFirstEvent(Backend& backend, Duration waited, TimePoint now) {
   const bool recent = now - backend.first_event_wait_at < kWaitSampleTtl;
   const Duration known = recent ? backend.first_event_wait : Duration::zero();
-  // A queue that grows is believed at once, one that shrinks step by step.
+  // Increases take effect at once; decreases are smoothed.
   backend.first_event_wait = std::max<Duration>(waited, (2 * known + waited) / 3);
   backend.first_event_wait_at = now;
 }
@@ -188,7 +189,7 @@
 void BackendDirectory::RecordReachable(Backend& backend) {
   backend.needs_probe = false;
   if (std::exchange(backend.reachable, true)) return;
-  // Its failures were those of the way there.
+  // The failures were caused by the connection, not by the backend server.
   backend.avoid_until = {};
   backend.failures = 0;
 }
--- a/libs/gateway/src/backend_load.cc
+++ b/libs/gateway/src/backend_load.cc
@@ -48,7 +48,7 @@
 void BackendLoad::OnFirstEvent(TimePoint now) {
   if (!waiting_entry_) return;
   const auto waited = std::chrono::duration_cast<Duration>(now - **waiting_entry_);
-  // A wait for a link says nothing of reading.
+  // A wait that includes a fetch does not measure prefill.
   if (!fetches_) {
     const double tokens = queued_tokens_ + unprefilled_tokens_;
     state_.reading_speed(backend_->entry.service).Record(tokens, waited);
--- a/libs/gateway/src/backend_search.cc
+++ b/libs/gateway/src/backend_search.cc
@@ -27,7 +27,8 @@
     if (request_.record.permit.MaySend()) co_return Outcome::kFound;
     ++request_.record.permits_refused;
   }
-  // Those are barred for others, too: the next look asks few.
+  // The servers that refused are barred for other requests, too, so the next attempt needs few
+  // queries.
   choice.reset();
   co_return Outcome::kWait;
 }
@@ -45,8 +46,8 @@
     if (MayRetry(ticket, choice)) outcome = co_await TryOnce(choice);
   }
   request_.record.deferred = std::chrono::duration_cast<Duration>(Clock::now() - began);
-  // At the end of its time a request is sent although the engine is full, but not
-  // without the permit that the engine's own word demands.
+  // At its deadline a request is sent even if the engine is full, but never without the permit that
+  // the engine's rate limit requires.
   const bool demands_permit = !choice || choice->backend->notice_state.limit();
   if (outcome == Outcome::kWait) outcome = demands_permit ? Outcome::kNone : Outcome::kFound;
   co_return outcome;
@@ -87,8 +88,8 @@
   return EarliestCapacity(state_, request_.plan, request_.inbound, request_.tried, Clock::now());
 }
 
-/// Whether waiting here is better than coming back: the caller's tries are few. The
-/// caller of a stream that has begun cannot come back, but is still reading.
+/// Whether waiting here is better than a retry by the caller, whose retries are few. The caller of
+/// a stream that has begun cannot retry, but is still reading.
 bool BackendSearch::HasCapacitySoon() const {
   const std::optional<TimePoint> capacity_at = NextCapacity();
   if (!capacity_at) return false;
--- a/libs/gateway/src/engine_cache.cc
+++ b/libs/gateway/src/engine_cache.cc
@@ -8,7 +8,8 @@
     entries_.push_front({0, own_tokens, false, now});
     tokens_ += own_tokens;
   }
-  // The beginning comes last: a part is of no use without those before it.
+  // The first part is touched last, so that it is evicted last: a part is useless without those
+  // before it.
   for (auto part = parts.rbegin(); part != parts.rend(); ++part) Touch(*part, now);
   Evict(capacity);
 }
--- a/libs/gateway/src/exchange_plan.cc
+++ b/libs/gateway/src/exchange_plan.cc
@@ -9,13 +9,15 @@
 namespace ridgehold {
 namespace {
 
-// A refusal by a full or reloading backend server keeps others from trying it at once.
+// Backoff after a refusal by a full or reloading backend server, so that other requests do not try
+// it at once.
 constexpr std::chrono::milliseconds kRefusalBackoff{120};
 // An engine on older weights that refuses is most likely loading newer ones, which takes 0.8 s.
 constexpr std::chrono::milliseconds kReloadBackoff{500};
-// Silence within a stream that no sound engine shows; callers give up after 4 s or more.
+// Longest gap between events of a stream; a healthy engine stays well below it, and callers give up
+// after 4 s or more.
 constexpr std::chrono::milliseconds kMaxStreamSilence{3'000};
-// Queue ranks that a request may be given; 0 is first.
+// Largest queue priority of a request; 0 is the most urgent.
 constexpr int kMaxQueuePriority = 9;
 constexpr int kMisdirected = 421;
 constexpr int kFirstSuccess = 200;
@@ -53,9 +55,9 @@
   return found == backend.weights.end() ? std::nullopt : std::optional(found->second);
 }
 
-/// Whether a request that is sent at `now` can still begin on the weights the
-/// backend server has: the bound is about the beginning, and requests wait
-/// there for as long as the last ones did.
+/// Whether a request that is sent at `now` can still begin on the weights of the backend server.
+/// The bound applies to the time when the request begins, so the expected wait in its queue is
+/// added.
 bool MayStartOnWeights(const GatewayState& state, const Backend& backend, const ModelId& model,
                        TimePoint now) {
   const auto current = WeightsOf(backend, model);
@@ -67,7 +69,7 @@
   return begins - *outdated < state.limits().older_weights;
 }
 
-/// How long a backend server that refused is left alone.
+/// How long a backend server gets no requests after it refused one.
 std::chrono::milliseconds BackoffAfterRefusal(const GatewayState& state,
                                               const InboundRequest& request, const Backend& backend,
                                               const AttemptFacts& facts) {
@@ -107,7 +109,7 @@
   return engine != nullptr ? engine->link_mbps : 0;
 }
 
-/// What a token of KV cache takes over such a link; 0: not known.
+/// Transfer time of one token of KV cache over such a link; 0: not known.
 double LinkMsPerToken(const ExchangePlan& plan, double link_mbps) {
   const EngineProfile* engine = ProfileOf(plan);
   if (engine == nullptr || link_mbps <= 0) return 0;
@@ -116,10 +118,9 @@
   return engine->token_bytes * kBitsPerByte / (link_mbps * kBitsPerMsAtOneMbps);
 }
 
-/// Parts that the chosen engine lacks, or may lack, are fetched from the source
-/// that has them soonest, and kept in the store once they are read. A source
-/// that has nothing costs 1 ms, so the store is asked also when it is not known
-/// to have them.
+/// Parts that the chosen engine lacks, or may lack, are fetched from the fastest source and saved
+/// in the store after the prefill. A source that has nothing costs 1 ms, so the store is queried
+/// even when it is not known to have the parts.
 void ChooseCacheSource(const ExchangePlan& plan, std::span<const BackendPtr> candidates,
                        const Placement& placement, BackendChoice& choice) {
   if (!placement.lacks_parts && !placement.may_lack_parts) return;
@@ -185,7 +186,7 @@
 }
 
 bool AvoidsRateLimited(const GatewayState& state, const ExchangePlan& plan, TimePoint now) {
-  // Fewer without a limit could not carry all small requests.
+  // Fewer backend servers without a rate limit could not carry all small requests.
   constexpr double kMinUnlimitedFraction = 0.1;
   const bool small = plan.chain && state.words().AnyLimit(now) &&
                      state.prompt_sizes().IsSmall(plan.service, plan.chain->prompt_tokens);
@@ -212,18 +213,18 @@
 }
 
 std::chrono::milliseconds DefaultRetryAfter(const ExchangePlan& plan) {
-  // A quarter of the objective leaves time to be served within it.
+  // A quarter of the objective leaves time to answer within it.
   const auto quarter = plan.route->latency_objective / 4;
   return std::max<std::chrono::milliseconds>(quarter, std::chrono::milliseconds(50));
 }
 
 std::chrono::milliseconds RetryAfterCapacity(const ExchangePlan& plan,
-                                             const InboundRequest& request, TimePoint room,
+                                             const InboundRequest& request, TimePoint capacity_at,
                                              TimePoint now) {
   constexpr double kMaxJitter = 0.5;
   const std::uint64_t hash = XXH3_64bits(request.id.value().data(), request.id.value().size());
   const double jitter = static_cast<double>(hash) / static_cast<double>(UINT64_MAX);
-  const auto until = std::chrono::duration<double, std::milli>(room - now);
+  const auto until = std::chrono::duration<double, std::milli>(capacity_at - now);
   const std::chrono::duration<double, std::milli> least = DefaultRetryAfter(plan);
   const auto wait = std::max(until, least) * (1 + kMaxJitter * jitter);
   return std::chrono::ceil<std::chrono::milliseconds>(wait);
@@ -237,8 +238,8 @@
   return ChooseAmong(state, plan, request, candidates, nullptr, now);
 }
 
-/// The store that keeps the prompt's shared parts, or null. Chosen by all of
-/// them: by the first alone, a few common beginnings would fill one store's link.
+/// The store is chosen by all shared parts. If it were chosen by the first part alone, a few common
+/// first parts would saturate one store's link.
 const KvCacheStore* KvStoreForPrompt(const ExchangePlan& plan) {
   if (plan.chain->parts.empty()) return nullptr;
   return plan.snapshot->KvStoreFor(plan.chain->parts.back().hash);
@@ -264,7 +265,7 @@
       const double token_ms = LinkMsPerToken(plan, store->link_mbps);
       query.store = KvStoreView{store->zone, link, token_ms, &state.KeptAt(link)};
     }
-    // Few hear of a beginning where few are told, so their segments would differ.
+    // With load queries, few gateways hear of a first part, so their segments would differ.
     if (!plan.chain->parts.empty() && answers == nullptr) {
       query.segment = state.prefix_shares().SegmentOf(plan.chain->parts.front().hash);
     }
@@ -372,7 +373,7 @@
 
 void ApplyAnswerHead(GatewayState& state, Backend& backend, const InboundRequest& request,
                      const AnswerHead& head, TimePoint sent) {
-  // Another incarnation speaks of itself.
+  // A misdirected request was answered by another incarnation, whose notice is about itself.
   if (head.status != kMisdirected) state.words().Note(backend, head.notice, sent, Clock::now());
   if (!request.generation || !head.weights) return;
   state.NoteWeights(backend, request.generation->model, *head.weights);
--- a/libs/gateway/src/placement.cc
+++ b/libs/gateway/src/placement.cc
@@ -12,7 +12,7 @@
 namespace ridgehold {
 namespace {
 
-// A backend server that was just tried without success is chosen last.
+// Cost of a backend server that failed recently, so that it is chosen last.
 constexpr double kAvoidPenalty = 5'000;
 
 std::uint64_t Hash(std::uint64_t seed, std::uint64_t value) {
@@ -21,7 +21,7 @@
 
 std::uint64_t HashText(std::string_view text) { return XXH3_64bits(text.data(), text.size()); }
 
-/// The choice among one set of candidates.
+/// Chooses among one set of candidates.
 class Chooser {
  public:
   Chooser(const PlacementQuery& query, std::span<const BackendPtr> candidates,
@@ -51,13 +51,13 @@
   }
 
  private:
-  /// What is known or guessed of a candidate's cache.
+  /// The estimated cache contents of a candidate.
   struct CacheEstimate {
-    std::uint32_t known_tokens = 0;      ///< of the chain, brought by earlier requests
-    std::uint32_t fetchable_tokens = 0;  ///< of those, what has been read by now
-    bool doubtful = false;               ///< some may have been evicted
-    bool in_segment = false;             ///< keeps prompts with this beginning
-    std::uint64_t rank = 0;              ///< of rendezvous hashing
+    std::uint32_t known_tokens = 0;      ///< tokens of the chain, added by earlier requests
+    std::uint32_t fetchable_tokens = 0;  ///< of these, tokens whose prefill is done
+    bool doubtful = false;               ///< some parts may have been evicted
+    bool in_segment = false;             ///< responsible for the prompt's first part
+    std::uint64_t rank = 0;              ///< rank in rendezvous hashing
   };
 
   /// A candidate that parts may be fetched from.
@@ -93,12 +93,13 @@
     return placement;
   }
 
-  /// What the gateway that tracks it says; null where that was not asked.
+  /// The report of the gateway that tracks the backend server; null if it was not queried or did
+  /// not answer.
   const BackendReport* ReportOn(const Backend& backend) const {
     return query_.answers != nullptr ? query_.answers->Find(backend) : nullptr;
   }
 
-  /// Fills in what will be found in the cache and what fetching costs.
+  /// Sets the tokens expected in the cache and the cost of fetching the others.
   void EvaluateCache(std::size_t index, Placement& placement) const {
     const std::uint32_t shared = query_.chain->shared_tokens;
     placement.known_tokens = cache_estimates_[index].known_tokens;
@@ -112,13 +113,13 @@
     if (index != home_) placement.cost += costs_.copy_token * MissingAt(index);
   }
 
-  /// Shared tokens that the candidate has not got yet.
+  /// Shared tokens that the candidate does not have.
   std::uint32_t MissingAt(std::size_t index) const {
     return query_.chain->shared_tokens - cache_estimates_[index].known_tokens;
   }
 
-  /// Where the candidate gets parts that it lacks soonest; nothing where reading
-  /// them is sooner, or nobody has them.
+  /// The source from which the candidate gets the missing parts soonest; nothing if recomputing
+  /// them is faster or nobody has them.
   std::optional<CacheSource> BestSource(std::size_t index) const {
     std::optional<CacheSource> best = FromStore(index);
     for (const EngineSource& engine : engine_sources_) {
@@ -130,7 +131,7 @@
     return best;
   }
 
-  /// What the source saves in milliseconds.
+  /// Milliseconds saved by fetching from the source instead of recomputing.
   double SavedMs(std::size_t index, const CacheSource& source) const {
     const std::uint32_t tokens = source.tokens - cache_estimates_[index].known_tokens;
     return costs_.reprefill_factor * tokens / TokensPerMs() - source.ms;
@@ -164,7 +165,7 @@
     return source;
   }
 
-  /// A source whose link is idle.
+  /// Describes a source whose link is idle.
   CacheSource SourceAt(std::size_t to, const ZoneId& zone, std::uint32_t tokens, double token_ms,
                        double call_ms) const {
     const double distance = candidates_[to]->entry.zone == zone ? 1 : 2;
@@ -175,8 +176,8 @@
     return source;
   }
 
-  /// What holds for all candidates alike, so that it is found out once: engines
-  /// that parts may be fetched from, what the store keeps, and their links.
+  /// Collects once what is the same for all candidates: the engines that parts may be fetched from,
+  /// the contents of the store, and the state of their links.
   void FindSources() {
     if (query_.chain->shared_tokens < kMinFetchTokens) return;
     if (query_.store) InspectStore();
@@ -207,12 +208,12 @@
 
   std::uint32_t TokensInStore(WeightsNumber weights) const {
     if (query_.answers != nullptr) {
-      // It was asked about the newest weights only.
+      // The query covered only the newest weights.
       const bool answered = StoreReportOrNull() != nullptr && weights == query_.newest_weights;
       return answered ? std::min(StoreReportOrNull()->readable_tokens, query_.chain->shared_tokens)
                       : 0;
     }
-    // While another engine reads the parts nobody has them to fetch from.
+    // While an engine is prefilling the parts, no source has them yet.
     if (query_.store->contents == nullptr)
       return prefill_in_progress_ ? 0 : query_.chain->shared_tokens;
     const std::vector<SharedPart> parts = StoredParts(query_.chain->parts, weights);
@@ -251,7 +252,8 @@
     return costs_.per_running_request * FleetTotal(backend.in_flight, backend.peers.running);
   }
 
-  /// All gateways' work, where those that are not heard do as this one does.
+  /// The load of all gateways, assuming that gateways that are not heard send as many requests as
+  /// this one.
   double FleetTotal(double own, double peers) const {
     return own * (1 + query_.unheard_gateway_ratio) + peers;
   }
@@ -268,8 +270,8 @@
     return found == backend.weights.end() ? WeightsNumber() : found->second;
   }
 
-  /// Rendezvous hashing within the segment of the prompt's beginning: without
-  /// asking, all gateways rank the candidates alike; the first is their home.
+  /// Rendezvous hashing within the ring segment of the prompt's first part. All gateways rank the
+  /// candidates alike without communication; the first one is the prompt's home.
   void RankHomes() {
     cache_estimates_.resize(candidates_.size());
     if (query_.chain->parts.empty()) return;
@@ -286,8 +288,8 @@
     }
   }
 
-  /// Marks the candidates in the prompt's segment, at least one: the circle is
-  /// divided evenly among the candidates, in the order of their ids' hashes.
+  /// Marks the candidates in the prompt's segment, at least one. The ring is divided evenly among
+  /// the candidates, in the order of their ids' hashes.
   void MarkSegment() {
     const auto count = static_cast<double>(candidates_.size());
     std::vector<std::size_t> order(candidates_.size());
@@ -305,9 +307,9 @@
     return !query_.newest_weights || WeightsOf(backend) >= *query_.newest_weights;
   }
 
-  /// Engines with newer weights come first: the others lose their cache soon. Not
-  /// where a few of many are asked about (HomesOf): all prompts would have their
-  /// homes among the first engines that load.
+  /// Engines with newer weights rank first, because the others lose their cache soon. This does not
+  /// apply when only a few of many candidates are polled (HomesOf): the first engines to load new
+  /// weights would become the home of all prompts.
   bool RanksBefore(std::size_t a, std::size_t b) const {
     const WeightsNumber of_a = WeightsOf(*candidates_[a]);
     const WeightsNumber of_b = WeightsOf(*candidates_[b]);
@@ -317,7 +319,7 @@
     return cache_estimates_[a].rank > cache_estimates_[b].rank;
   }
 
-  /// Fills in which of the chain's parts the backend server has.
+  /// Estimates which of the chain's parts the backend server holds.
   void EstimateCache(const Backend& backend, CacheEstimate& estimate) const {
     const auto match = MatchOn(backend);
     estimate.known_tokens = match.tokens;
@@ -334,7 +336,7 @@
     const BackendReport* report = ReportOn(backend);
     EngineCache::PrefixMatch match =
         report != nullptr ? report->prefix_match : EngineCache::PrefixMatch();
-    // The engine may have loaded other weights since.
+    // An inconsistent report: the engine may have loaded other weights since.
     if (match.tokens > query_.chain->shared_tokens) match = {};
     return match;
   }
@@ -344,13 +346,13 @@
   const PlacementQuery& query_;
   std::span<const BackendPtr> candidates_;
   const PlacementCosts& costs_;
-  std::vector<std::uint64_t> id_hashes_;  ///< by candidate
+  std::vector<std::uint64_t> id_hashes_;  ///< one for each candidate
   std::vector<CacheEstimate> cache_estimates_;
   std::vector<EngineSource> engine_sources_;
   std::map<WeightsNumber, std::uint32_t> store_tokens_;  ///< of the chain, by weights
   double store_wait_ = 0;                                ///< ms
   std::size_t home_ = kNone;
-  bool prefill_in_progress_ = false;  ///< an engine on the newest weights reads the parts now
+  bool prefill_in_progress_ = false;  ///< an engine on the newest weights is prefilling the parts
 };
 
 }  // namespace
--- a/libs/gateway/src/polled_choice.cc
+++ b/libs/gateway/src/polled_choice.cc
@@ -7,11 +7,12 @@
 namespace ridgehold {
 namespace {
 
-// With more than this before the best of the first ones, further ones are asked
-// about: an engine reads a long prompt and a half in it, and objectives are 400 ms
-// and more.
+// If the best of the first candidates has a longer queue than this, more candidates are polled. An
+// engine prefills about one and a half long prompts in this time, and objectives are 400 ms and
+// more.
 constexpr double kBusyQueueMs = 100;
-// The same for plain calls, as cost: two running calls and the way to another zone.
+// The same for plain calls, as a placement cost: two running calls and a round trip to another
+// zone.
 constexpr double kBusyCallCost = 50;
 
 ShortlistQuery QueryFor(GatewayState& state, const ExchangePlan& plan,
@@ -50,7 +51,7 @@
   return plain_call ? choice.expected_ms > kBusyCallCost : choice.queue_ms > kBusyQueueMs;
 }
 
-/// One request's choice.
+/// Polls candidates and chooses among them, for one request.
 class CandidatePoll {
  public:
   CandidatePoll(GatewayState& state, const ExchangePlan& plan, const InboundRequest& request,
@@ -80,14 +81,14 @@
     return query_.chain != nullptr && query_.chain->shared_tokens >= kMinFetchTokens;
   }
 
-  /// The same for all gateways, whatever each knows of single engines.
+  /// The same for all gateways, whatever each knows of individual engines.
   BackendPtr HomeOfPrompt() const {
     const auto engines = state_.directory().Usable(plan_.service, query_.now);
     const auto homes = HomesOf(*query_.chain, RingSegment(), engines, 1);
     return homes.empty() ? nullptr : homes.front();
   }
 
-  /// Asks about `backends` and chooses among all that were asked about so far.
+  /// Queries the load of `backends` and chooses among all candidates polled so far.
   net::awaitable<void> Poll(std::vector<BackendPtr> backends, bool first) {
     polled_.insert(polled_.end(), backends.begin(), backends.end());
     LoadQuestion question = MakeLoadQuestion(query_, plan_, std::move(backends));
@@ -100,8 +101,8 @@
     choice_ = ChooseAmong(state_, plan_, request_, polled_, &answer_, Clock::now());
   }
 
-  /// Who else is worth a question: engines that have what the chosen one lacks,
-  /// and any others if all so far are busy.
+  /// More candidates to poll: engines that hold parts the chosen one lacks, and random ones if all
+  /// polled so far are busy.
   std::vector<BackendPtr> FollowUpCandidates() const {
     std::vector<BackendPtr> follow_up;
     const bool lacks_prefix =
@@ -131,7 +132,7 @@
   std::vector<BackendPtr> candidates_;
   ShortlistQuery query_;
   BackendPtr home_;
-  std::vector<BackendPtr> polled_;  ///< asked about
+  std::vector<BackendPtr> polled_;  ///< candidates polled so far
   LoadAnswer answer_;
   std::optional<BackendChoice> choice_;
 };
--- a/libs/gateway/src/prefix_shares.cc
+++ b/libs/gateway/src/prefix_shares.cc
@@ -26,7 +26,7 @@
 }
 
 void PrefixShares::Decay() {
-  constexpr double kMinTokens = 100;  // tokens; less than any prompt brings
+  constexpr double kMinTokens = 100;  // tokens; fewer than any prompt adds
   total_ = 0;
   for (auto& [first_part, tokens] : tokens_) {
     tokens /= 2;
--- a/libs/gateway/src/request_fingerprint.cc
+++ b/libs/gateway/src/request_fingerprint.cc
@@ -10,7 +10,7 @@
 namespace ridgehold {
 namespace {
 
-/// The seed carries what came before, so that no text runs into the next.
+/// Each hash seeds the next, so that moving bytes between adjacent fields changes the result.
 std::uint64_t Mix(std::uint64_t seed, std::string_view text) {
   return XXH3_64bits_withSeed(text.data(), text.size(), seed);
 }
--- a/libs/gateway/src/request_log.cc
+++ b/libs/gateway/src/request_log.cc
@@ -119,10 +119,10 @@
 }  // namespace
 
 std::optional<NoticeRecord> NoticeRecordOf(const Backend& backend, TimePoint now) {
-  const BackendWord& word = backend.notice_state;
-  const auto rest = std::chrono::duration_cast<Duration>(word.rest_until() - now);
-  const NoticeRecord notice{word.limit(), word.leaving(), std::max(Duration::zero(), rest),
-                            std::chrono::duration_cast<Duration>(now - word.heard_at())};
+  const BackendWord& received = backend.notice_state;
+  const auto rest = std::chrono::duration_cast<Duration>(received.rest_until() - now);
+  const NoticeRecord notice{received.limit(), received.leaving(), std::max(Duration::zero(), rest),
+                            std::chrono::duration_cast<Duration>(now - received.heard_at())};
   const bool nothing = !notice.limit && !notice.leaving && notice.rest_left == Duration::zero();
   return nothing ? std::nullopt : std::optional(notice);
 }
--- a/libs/gateway/src/routing_snapshot.cc
+++ b/libs/gateway/src/routing_snapshot.cc
@@ -52,7 +52,7 @@
 }
 
 const RouteRule* RoutingSnapshot::FindRoute(std::string_view host, std::string_view path) const {
-  // Prefixes end with a slash, so only the path's slashes can end one.
+  // Prefixes end with a slash, so only the slashes of the path can end a match.
   std::size_t slash = path.rfind('/');
   while (slash != std::string_view::npos) {
     const auto found = routes_.find(RouteKey(host, path.substr(0, slash + 1)));
--- a/libs/gateway/src/sampled_shares.cc
+++ b/libs/gateway/src/sampled_shares.cc
@@ -26,7 +26,7 @@
 }
 
 void SampledShares::Decay() {
-  constexpr double kMinTokens = 1'000;  // tokens; a prompt of one gateway brings more
+  constexpr double kMinTokens = 1'000;  // tokens; one prompt of one gateway adds more
   for (auto& [first_part, sample] : samples_) {
     sample.tokens /= 2;
     sample.total /= 2;
--- a/libs/gateway/src/shortlist.cc
+++ b/libs/gateway/src/shortlist.cc
@@ -16,11 +16,11 @@
   return XXH3_64bits_withSeed(&value, sizeof value, seed);
 }
 
-/// Salts, so that ranks for different purposes differ.
+/// Salts that make the ranks for different purposes independent.
 constexpr std::uint64_t kSubsetSalt = 0x75737561;
 constexpr std::uint64_t kExtensionSalt = 0x77696465;
 
-/// Whether the segment has the point that a hash stands for.
+/// Whether the segment contains the ring position of a hash.
 bool IsInSegment(const RingSegment& segment, std::uint64_t hash) {
   constexpr double kHashes = 18'446'744'073'709'551'616.0;  // 2^64
   double from_begin = static_cast<double>(hash) / kHashes - segment.begin;
@@ -28,7 +28,7 @@
   return from_begin < segment.length;
 }
 
-/// The first `count` by rank, the highest first.
+/// The `count` candidates of the highest rank, in descending order.
 template <class Rank>
 Backends TopRanked(std::span<const BackendPtr> candidates, std::size_t count, Rank&& rank) {
   using Ranked = std::pair<std::invoke_result_t<Rank, const Backend&>, const BackendPtr*>;
@@ -64,7 +64,7 @@
   list.insert(list.end(), more.begin(), more.end());
 }
 
-/// Sample evenly, another set for each `draw`.
+/// A uniform random sample, determined by `random_seed`.
 Backends Sample(std::uint64_t random_seed, std::span<const BackendPtr> candidates,
                 std::size_t count) {
   return TopRanked(candidates, count, [&](const Backend& backend) {
@@ -72,7 +72,7 @@
   });
 }
 
-/// What nothing known here speaks against; all, if something does everywhere.
+/// The candidates without any known problem; all candidates if each has one.
 Backends Healthy(const ShortlistQuery& query, std::span<const BackendPtr> candidates) {
   Backends healthy = Filter(candidates, [&](const Backend& backend) {
     return backend.reachable && !backend.grace_until && !IsAvoided(backend, query.now) &&
@@ -100,12 +100,13 @@
   const Backends loaded = Filter(healthy, [&](const Backend& backend) {
     return !query.newest_weights || HasWeights(backend, query.model, *query.newest_weights);
   });
-  // Half of the engines can take all prompts at the usual load, and what is made on
-  // older weights is worth less.
+  // Half of the engines can take all prompts at the usual load, and output on older weights is
+  // worth less.
   const bool half_loaded = 2 * loaded.size() >= healthy.size();
   const std::span<const BackendPtr> pool = half_loaded ? std::span(loaded) : healthy;
   Backends list = HomesOf(*query.chain, query.segment, pool, sizes.homes);
-  // While few have loaded them, the first of those is the next home.
+  // While fewer have loaded the newest weights, the best-ranked of those that have is one more
+  // home.
   if (!half_loaded) Append(list, Excluding(HomesOf(*query.chain, query.segment, loaded, 1), list));
   const Backends others = Excluding(OfZone(query.own_zone, pool), list);
   Append(list, Sample(query.random_seed, others, sizes.random_picks));
@@ -119,7 +120,7 @@
   const Backends subset = TopRanked(OfZone(query.own_zone, healthy), sizes.subset_size, rank);
   Backends list = Sample(query.random_seed, subset, sizes.subset_sample);
   if (list.size() >= sizes.subset_sample) return list;
-  // The own zone has few: the same ones of other zones each time.
+  // The own zone has too few engines: add a fixed set from other zones.
   Append(list, TopRanked(Excluding(healthy, list), sizes.subset_sample - list.size(), rank));
   return list;
 }
@@ -130,7 +131,7 @@
                                 std::span<const BackendPtr> candidates, std::size_t count) {
   if (chain.parts.empty()) return {};
   const std::uint64_t subject = chain.parts.back().hash;
-  // A rare beginning has one engine or two, and not now this, now that one.
+  // A rare first part keeps one or two engines, instead of alternating between several.
   constexpr double kMinEngines = 1.5;
   RingSegment widened = segment;
   widened.length =
--- a/libs/gateway/src/transfer_links.cc
+++ b/libs/gateway/src/transfer_links.cc
@@ -8,7 +8,7 @@
 namespace ridgehold {
 namespace {
 
-// Engines come and go; above so many links the idle ones are forgotten.
+// Bounds memory as engines come and go: above this, idle links are removed.
 constexpr std::size_t kMaxLinks = 10'000;
 
 }  // namespace
--- a/libs/gateway/src/weights_history.cc
+++ b/libs/gateway/src/weights_history.cc
@@ -38,7 +38,7 @@
     const ModelId& model, WeightsNumber number) const {
   const auto found = announcements_.find(model);
   if (found == announcements_.end()) return std::nullopt;
-  // A later number proves that the weights are outdated at its moment too.
+  // Any higher number supersedes these weights at its own time, whatever the order of the numbers.
   const auto newer = std::ranges::upper_bound(found->second, number, {}, &Announcement::number);
   const auto earliest = std::ranges::min_element(newer, found->second.end(), {}, &Announcement::at);
   return earliest == found->second.end() ? std::nullopt : std::optional(*earliest);
--- a/libs/gateway/test/backend_directory-test.cc
+++ b/libs/gateway/test/backend_directory-test.cc
@@ -31,7 +31,7 @@
   BOOST_TEST(directory.Usable(kService, kStart).empty());
 }
 
-BOOST_AUTO_TEST_CASE(removed_backend_server_is_gone_at_once_without_grace) {
+BOOST_AUTO_TEST_CASE(removal_without_grace_takes_effect_at_once) {
   BackendDirectory directory;
   directory.Put(Entry("b"));
   const BackendPtr held = directory.Find(BackendId("b"));
@@ -41,7 +41,7 @@
   BOOST_TEST(held->removed);
 }
 
-BOOST_AUTO_TEST_CASE(lapsed_registration_is_used_until_its_grace_is_over) {
+BOOST_AUTO_TEST_CASE(lapsed_registration_is_used_until_its_grace_period_ends) {
   BackendDirectory directory;
   directory.Put(Entry("b"));
   directory.Remove(BackendId("b"), 2s, kStart);
@@ -50,7 +50,7 @@
   BOOST_TEST(directory.Expire(kStart + 2s).size() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(registration_that_comes_back_cancels_the_grace) {
+BOOST_AUTO_TEST_CASE(returning_registration_cancels_the_grace_period) {
   BackendDirectory directory;
   directory.Put(Entry("b"));
   directory.Remove(BackendId("b"), 2s, kStart);
@@ -59,7 +59,7 @@
   BOOST_TEST(directory.Usable(kService, kStart + 3s).size() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(second_news_of_a_lapse_does_not_prolong_the_grace) {
+BOOST_AUTO_TEST_CASE(repeated_removal_does_not_extend_the_grace_period) {
   BackendDirectory directory;
   directory.Put(Entry("b"));
   directory.Remove(BackendId("b"), 2s, kStart);
@@ -67,7 +67,7 @@
   BOOST_TEST(directory.Usable(kService, kStart + 2s).empty());
 }
 
-BOOST_AUTO_TEST_CASE(weights_only_move_forward_and_empty_the_cache) {
+BOOST_AUTO_TEST_CASE(weights_only_advance_and_newer_ones_empty_the_cache) {
   BackendDirectory directory;
   directory.Put(Entry("b"));
   Backend& backend = *directory.Find(BackendId("b"));
@@ -81,9 +81,9 @@
   BOOST_TEST(backend.cache.tokens() == 0U);
 }
 
-// The pattern: engines that crash and are back at their address before their old
-// entries lapse.
-BOOST_AUTO_TEST_CASE(new_one_at_an_address_ends_those_before) {
+// Engines that crash may be back at their address before their old registrations lapse; requests
+// must not go to the old entries.
+BOOST_AUTO_TEST_CASE(new_backend_server_at_an_address_supersedes_previous_ones) {
   BackendDirectory directory;
   BackendEntry old_entry = Entry("old");
   old_entry.address = "10.0.0.1:1";
@@ -98,7 +98,7 @@
   BOOST_TEST(directory.Usable(kService, kStart).size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(list_alone_does_not_tell_which_of_two_at_an_address_is_newer) {
+BOOST_AUTO_TEST_CASE(full_list_supersedes_neither_of_two_at_one_address) {
   BackendDirectory directory;
   BackendEntry one = Entry("one");
   BackendEntry other = Entry("other");
@@ -114,8 +114,9 @@
   return entry;
 }
 
-// The pattern: an engine that crashes and starts again under the id that it had.
-BOOST_AUTO_TEST_CASE(later_start_under_a_known_id_begins_anew) {
+// An engine that crashes may start again under the same id; nothing known of the old process
+// applies to the new one.
+BOOST_AUTO_TEST_CASE(restart_under_a_known_id_resets_the_entry) {
   BackendDirectory directory;
   BOOST_TEST((directory.Put(Started("b", 5)) == Registration::kAdded));
   const BackendPtr before = directory.Find(BackendId("b"));
@@ -139,7 +140,7 @@
   BOOST_TEST(directory.Usable(kService, kStart).size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(earlier_start_that_comes_late_is_ignored) {
+BOOST_AUTO_TEST_CASE(late_registration_of_an_earlier_start_is_ignored) {
   BackendDirectory directory;
   directory.Put(Started("b", 6));
   const BackendPtr known = directory.Find(BackendId("b"));
@@ -154,7 +155,7 @@
   BOOST_TEST((directory.Put(Started("b", 6)) == Registration::kAdded));
 }
 
-BOOST_AUTO_TEST_CASE(list_takes_starts_into_account) {
+BOOST_AUTO_TEST_CASE(full_list_respects_start_stamps) {
   BackendDirectory directory;
   directory.Put(Started("b", 6));
   const BackendPtr known = directory.Find(BackendId("b"));
@@ -165,7 +166,7 @@
   BOOST_TEST(known->removed);
 }
 
-BOOST_AUTO_TEST_CASE(entry_without_a_start_is_of_the_known_process) {
+BOOST_AUTO_TEST_CASE(registration_without_a_start_stamp_belongs_to_the_known_process) {
   BackendDirectory directory;
   directory.Put(Started("b", 6));
   const BackendPtr known = directory.Find(BackendId("b"));
@@ -174,7 +175,7 @@
   BOOST_TEST((directory.Put(Started("b", 7)) == Registration::kRestarted));
 }
 
-BOOST_AUTO_TEST_CASE(registration_for_an_unknown_service_ends_nobody) {
+BOOST_AUTO_TEST_CASE(registration_for_an_unknown_service_supersedes_nobody) {
   BackendDirectory directory;
   directory.SetServices({kService});
   directory.Put(Started("b", 0));
--- a/libs/gateway/test/exchange_plan-test.cc
+++ b/libs/gateway/test/exchange_plan-test.cc
@@ -71,7 +71,7 @@
     state.TakeSnapshot(*RoutingSnapshot::Create(Parts(stores)));
   }
 
-  /// Asks for text after two shared parts.
+  /// Sets up a generation request with two shared parts.
   void Prompt(std::uint64_t first, std::uint64_t second) {
     request.generation = GenerationRequest{
         kModel, kShared + kOwn, 10, {{first, kShared / 2}, {second, kShared / 2}, {99, kOwn}}};
@@ -85,7 +85,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(exchange_plan, Fixture)
 
-BOOST_AUTO_TEST_CASE(prompts_that_begin_alike_are_spread_over_all_stores) {
+BOOST_AUTO_TEST_CASE(prompts_with_a_common_first_part_are_spread_over_all_stores) {
   Configure({"s", "t", "u"});
   std::map<std::string, int> prompts_at;
   for (std::uint64_t second = 0; second < 300; ++second) {
@@ -95,7 +95,7 @@
   for (const char* store : {"s:1", "t:1", "u:1"}) BOOST_TEST(prompts_at[store] > 60);
 }
 
-BOOST_AUTO_TEST_CASE(equal_prompts_have_one_store) {
+BOOST_AUTO_TEST_CASE(equal_prompts_use_the_same_store) {
   Configure({"s", "t", "u"});
   for (std::uint64_t second = 0; second < 50; ++second) {
     Prompt(1, second);
@@ -105,7 +105,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(what_is_looked_for_in_a_store_is_saved_there) {
+BOOST_AUTO_TEST_CASE(parts_requested_from_a_store_are_saved_to_it) {
   Configure({"s"});
   Prompt(1, 2);
   const BackendChoice choice = Choose();
@@ -113,7 +113,7 @@
   BOOST_TEST(choice.save_to.value_or("") == "s:1");
 }
 
-BOOST_AUTO_TEST_CASE(parts_that_may_have_been_evicted_are_looked_for_and_saved_too) {
+BOOST_AUTO_TEST_CASE(possibly_evicted_parts_are_fetched_and_saved) {
   Configure({"s"});
   Prompt(1, 2);
   const ExchangePlan plan = Plan();
@@ -127,7 +127,7 @@
   BOOST_TEST(second.save_to.value_or("") == "s:1");
 }
 
-BOOST_AUTO_TEST_CASE(what_is_fetched_takes_the_place_of_other_parts) {
+BOOST_AUTO_TEST_CASE(fetched_parts_take_up_cache_capacity) {
   Configure({"s"});
   Prompt(1, 2);
   PlacementUpdate saved;
--- a/libs/gateway/test/placement-test.cc
+++ b/libs/gateway/test/placement-test.cc
@@ -32,7 +32,7 @@
   std::vector<BackendPtr> backends = {MakeBackend("x"), MakeBackend("y"), MakeBackend("z")};
   PromptChain chain = PromptChain::Of(Generation(), "shared");
   PlacementQuery query;
-  PlacementCosts weights;
+  PlacementCosts costs;
 
   Fixture() {
     query.own_zone = ZoneId("a");
@@ -43,18 +43,18 @@
     query.now = kNow;
   }
 
-  void Bring(const BackendPtr& backend, std::chrono::milliseconds ago) {
+  void AddToCache(const BackendPtr& backend, std::chrono::milliseconds ago) {
     backend->cache.Use(chain.parts, chain.own_tokens(), query.cache_tokens, kNow - ago);
   }
 
-  /// Where prompts go that begin alike and are new to all.
-  std::set<std::size_t> HomesOfSubjects() {
+  /// The homes of prompts with the same first part that are cached nowhere.
+  std::set<std::size_t> HomesOfNewPrompts() {
     std::set<std::size_t> homes;
     GenerationRequest request = Generation();
     for (std::uint64_t subject = 10; subject < 40; ++subject) {
       request.parts[1].id = subject;
       chain = PromptChain::Of(request, "shared");
-      homes.insert(ChooseBackend(query, backends, weights).index);
+      homes.insert(ChooseBackend(query, backends, costs).index);
     }
     return homes;
   }
@@ -64,27 +64,27 @@
 
 BOOST_FIXTURE_TEST_SUITE(placement, Fixture)
 
-BOOST_AUTO_TEST_CASE(chain_leaves_out_the_requests_own_part_and_knows_its_scope) {
+BOOST_AUTO_TEST_CASE(chain_excludes_the_requests_own_part_and_depends_on_the_scope) {
   BOOST_TEST(chain.parts.size() == 2);
   BOOST_TEST(chain.shared_tokens == 6'000);
   BOOST_TEST(PromptChain::Of(Generation(), "w:1").parts[0].hash != chain.parts[0].hash);
 }
 
-BOOST_AUTO_TEST_CASE(prompt_goes_where_its_parts_are) {
+BOOST_AUTO_TEST_CASE(prompt_is_placed_where_its_parts_are_cached) {
   for (const BackendPtr& holder : backends) {
     for (const BackendPtr& backend : backends) backend->cache.Clear();
-    Bring(holder, 1s);
-    const Placement chosen = ChooseBackend(query, backends, weights);
+    AddToCache(holder, 1s);
+    const Placement chosen = ChooseBackend(query, backends, costs);
     BOOST_TEST(backends[chosen.index] == holder);
     BOOST_TEST(chosen.cached_tokens == 6'000);
     BOOST_TEST(!chosen.lacks_parts);
   }
 }
 
-BOOST_AUTO_TEST_CASE(busy_holder_is_left_and_its_parts_are_fetched) {
-  Bring(backends[1], 1s);
+BOOST_AUTO_TEST_CASE(parts_are_fetched_from_a_busy_holder) {
+  AddToCache(backends[1], 1s);
   backends[1]->unprefilled_tokens = 60'000;
-  const Placement chosen = ChooseBackend(query, backends, weights);
+  const Placement chosen = ChooseBackend(query, backends, costs);
   BOOST_TEST(chosen.index != 1);
   BOOST_REQUIRE(chosen.source.has_value());
   BOOST_TEST((chosen.source->engine == std::optional<std::size_t>(1)));
@@ -93,136 +93,136 @@
   BOOST_TEST(chosen.known_tokens == 0);
 }
 
-// The pattern: nine engines and one store with links of the same speed, where a
-// prompt's parts take a link 46 ms and as many prompts miss as that link carries.
-BOOST_AUTO_TEST_CASE(parts_come_from_the_source_whose_link_is_free_soonest) {
+// Models engines and one store with links of the same speed (nine engines in the deployment), where
+// the parts of a prompt occupy a link for 46 ms and the misses saturate the store's link.
+BOOST_AUTO_TEST_CASE(parts_are_fetched_from_the_source_whose_link_is_free_first) {
   TransferLinks links;
   query.links = &links;
   query.engine_ms_per_token = 0.0073;
   query.store = KvStoreView{ZoneId("a"), LinkOf("store"), 0.0073, nullptr};
   backends[1]->entry.address = "y:1";
-  Bring(backends[1], 1s);
+  AddToCache(backends[1], 1s);
   backends[1]->unprefilled_tokens = 60'000;
   links.Reserve(LinkOf("store"), 100ms, kNow);
-  Placement chosen = ChooseBackend(query, backends, weights);
+  Placement chosen = ChooseBackend(query, backends, costs);
   BOOST_REQUIRE(chosen.source.has_value());
   BOOST_TEST(chosen.source->engine.has_value());
   links.Reserve(LinkOf("y:1"), 400ms, kNow);
-  chosen = ChooseBackend(query, backends, weights);
+  chosen = ChooseBackend(query, backends, costs);
   BOOST_REQUIRE(chosen.source.has_value());
   BOOST_TEST(!chosen.source->engine.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(parts_are_read_where_every_link_is_busy_for_longer) {
+BOOST_AUTO_TEST_CASE(parts_are_recomputed_if_every_link_is_busy_for_longer) {
   TransferLinks links;
   query.links = &links;
   query.store = KvStoreView{ZoneId("a"), LinkOf("store"), 0.0073, nullptr};
   links.Reserve(LinkOf("store"), 1s, kNow);
-  const Placement chosen = ChooseBackend(query, backends, weights);
+  const Placement chosen = ChooseBackend(query, backends, costs);
   BOOST_TEST(!chosen.source.has_value());
   BOOST_TEST(chosen.lacks_parts);
   BOOST_TEST(chosen.cached_tokens == 0);
 }
 
-BOOST_AUTO_TEST_CASE(store_has_what_was_kept_under_the_same_weights) {
-  EngineCache kept;
-  query.store = KvStoreView{ZoneId("a"), LinkOf("store"), 0.0073, &kept};
-  kept.Use(StoredParts(chain.parts, WeightsNumber(2)), 0, 100'000, kNow - 1s);
-  BOOST_TEST(!ChooseBackend(query, backends, weights).source.has_value());
-  kept.Use(StoredParts(chain.parts, WeightsNumber(1)), 0, 100'000, kNow - 1s);
-  BOOST_TEST(ChooseBackend(query, backends, weights).source.has_value());
+BOOST_AUTO_TEST_CASE(store_holds_only_parts_saved_under_the_same_weights) {
+  EngineCache stored;
+  query.store = KvStoreView{ZoneId("a"), LinkOf("store"), 0.0073, &stored};
+  stored.Use(StoredParts(chain.parts, WeightsNumber(2)), 0, 100'000, kNow - 1s);
+  BOOST_TEST(!ChooseBackend(query, backends, costs).source.has_value());
+  stored.Use(StoredParts(chain.parts, WeightsNumber(1)), 0, 100'000, kNow - 1s);
+  BOOST_TEST(ChooseBackend(query, backends, costs).source.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(parts_that_are_being_read_cannot_be_fetched) {
-  Bring(backends[1], 50ms);
+BOOST_AUTO_TEST_CASE(parts_being_prefilled_cannot_be_fetched) {
+  AddToCache(backends[1], 50ms);
   backends[1]->unprefilled_tokens = 60'000;
-  const Placement chosen = ChooseBackend(query, backends, weights);
+  const Placement chosen = ChooseBackend(query, backends, costs);
   BOOST_TEST(!chosen.source.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(parts_pushed_out_by_others_count_as_gone) {
-  Bring(backends[1], 1s);
+BOOST_AUTO_TEST_CASE(evicted_parts_count_as_missing) {
+  AddToCache(backends[1], 1s);
   backends[1]->cache.Use({}, 95'000, query.cache_tokens, kNow);
-  BOOST_TEST(ChooseBackend(query, backends, weights).lacks_parts);
+  BOOST_TEST(ChooseBackend(query, backends, costs).lacks_parts);
 }
 
-BOOST_AUTO_TEST_CASE(work_of_other_gateways_counts) {
-  Bring(backends[1], 1s);
+BOOST_AUTO_TEST_CASE(load_of_other_gateways_counts) {
+  AddToCache(backends[1], 1s);
   backends[1]->peers.unread_tokens = 60'000;
-  BOOST_TEST(ChooseBackend(query, backends, weights).index != 1);
+  BOOST_TEST(ChooseBackend(query, backends, costs).index != 1);
 }
 
-BOOST_AUTO_TEST_CASE(held_and_failing_backend_servers_are_chosen_last) {
-  Bring(backends[1], 1s);
+BOOST_AUTO_TEST_CASE(backend_servers_on_hold_or_failing_are_chosen_last) {
+  AddToCache(backends[1], 1s);
   backends[1]->hold_until = kNow + 1s;
-  BOOST_TEST(ChooseBackend(query, backends, weights).index != 1);
+  BOOST_TEST(ChooseBackend(query, backends, costs).index != 1);
   for (const BackendPtr& backend : backends) backend->avoid_until = kNow + 1s;
   backends[1]->hold_until = {};
-  BOOST_TEST(ChooseBackend(query, backends, weights).index == 1);
+  BOOST_TEST(ChooseBackend(query, backends, costs).index == 1);
 }
 
-BOOST_AUTO_TEST_CASE(doubted_backend_servers_are_chosen_last) {
-  Bring(backends[1], 1s);
+BOOST_AUTO_TEST_CASE(backend_servers_in_cool_down_at_other_gateways_are_chosen_last) {
+  AddToCache(backends[1], 1s);
   for (const std::uint64_t other : {1, 2})
     backends[1]->notice_state.NoteRestOfOther(other, kNow + 1s, kNow);
-  BOOST_TEST(ChooseBackend(query, backends, weights).index != 1);
+  BOOST_TEST(ChooseBackend(query, backends, costs).index != 1);
   const std::vector<BackendPtr> alone = {backends[1]};
-  BOOST_TEST(ChooseBackend(query, alone, weights).index == 0);
+  BOOST_TEST(ChooseBackend(query, alone, costs).index == 0);
 }
 
-BOOST_AUTO_TEST_CASE(newest_weights_are_preferred_once_older_ones_are_old_news) {
+BOOST_AUTO_TEST_CASE(newest_weights_are_preferred_after_the_free_period) {
   query.newest_weights = WeightsNumber(2);
   backends[2]->weights[kModel] = WeightsNumber(2);
   query.newest_since = kNow - 3s;
-  weights.older_weights = 500;
-  BOOST_TEST(ChooseBackend(query, backends, weights).index == 2);
+  costs.older_weights = 500;
+  BOOST_TEST(ChooseBackend(query, backends, costs).index == 2);
 }
 
-BOOST_AUTO_TEST_CASE(parts_are_fetched_only_from_engines_of_the_same_weights) {
+BOOST_AUTO_TEST_CASE(parts_are_fetched_only_from_engines_with_the_same_weights) {
   query.newest_weights = WeightsNumber(2);
   backends[1]->weights[kModel] = WeightsNumber(2);
-  Bring(backends[1], 1s);
+  AddToCache(backends[1], 1s);
   backends[1]->unprefilled_tokens = 200'000;
-  const Placement chosen = ChooseBackend(query, backends, weights);
+  const Placement chosen = ChooseBackend(query, backends, costs);
   BOOST_TEST(chosen.index != 1);
   BOOST_TEST(!chosen.source.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(home_is_in_the_segment_of_the_prompts_beginning) {
+BOOST_AUTO_TEST_CASE(home_is_in_the_segment_of_the_prompts_first_part) {
   for (double begin : {0.0, 0.4, 0.7}) {
     query.segment = {begin, 0.01};
-    BOOST_TEST(HomesOfSubjects().size() == 1);
+    BOOST_TEST(HomesOfNewPrompts().size() == 1);
   }
   query.segment = {0, 1};
-  BOOST_TEST(HomesOfSubjects().size() == 3);
+  BOOST_TEST(HomesOfNewPrompts().size() == 3);
 }
 
-BOOST_AUTO_TEST_CASE(copy_costs_only_what_is_missing) {
+BOOST_AUTO_TEST_CASE(copy_cost_covers_only_missing_parts) {
   query.store = KvStoreView{ZoneId("a")};
-  Bring(backends[1], 1s);
+  AddToCache(backends[1], 1s);
   backends[1]->unprefilled_tokens = 600'000;
-  // Has the first of the two shared parts.
+  // Holds the first of the two shared parts.
   backends[2]->cache.Use({&chain.parts[0], 1}, 0, query.cache_tokens, kNow - 1s);
-  weights.copy_token = 1;
-  weights.store_token = 1;
-  BOOST_TEST(ChooseBackend(query, backends, weights).index == 2);
+  costs.copy_token = 1;
+  costs.store_token = 1;
+  BOOST_TEST(ChooseBackend(query, backends, costs).index == 2);
 }
 
-BOOST_AUTO_TEST_CASE(plain_call_goes_to_the_least_busy) {
+BOOST_AUTO_TEST_CASE(plain_call_goes_to_the_least_loaded) {
   query.chain = nullptr;
   backends[0]->in_flight = 2;
   backends[1]->peers.running = 1;
-  BOOST_TEST(ChooseBackend(query, backends, weights).index == 2);
+  BOOST_TEST(ChooseBackend(query, backends, costs).index == 2);
 }
 
-RC_BOOST_FIXTURE_PROP(all_gateways_agree_on_the_home_of_a_new_subject, Fixture, ()) {
+RC_BOOST_FIXTURE_PROP(all_gateways_agree_on_the_home_of_a_new_prompt, Fixture, ()) {
   GenerationRequest request = Generation();
   request.parts[1].id = *rc::gen::arbitrary<std::uint64_t>();
   chain = PromptChain::Of(request, "shared");
   query.tie_break = *rc::gen::arbitrary<std::uint64_t>();
-  const Placement one = ChooseBackend(query, backends, weights);
+  const Placement one = ChooseBackend(query, backends, costs);
   query.tie_break = *rc::gen::arbitrary<std::uint64_t>();
-  const Placement other = ChooseBackend(query, backends, weights);
+  const Placement other = ChooseBackend(query, backends, costs);
   RC_ASSERT(one.index == other.index);
 }
 
--- a/libs/gateway/test/polled_choice-test.cc
+++ b/libs/gateway/test/polled_choice-test.cc
@@ -20,7 +20,7 @@
 const ServiceId kService("engines");
 constexpr int kEngines = 60;
 constexpr int kGateways = 40;
-constexpr double kTokensPerMs = 57;  // as engines of the large deployment read
+constexpr double kTokensPerMs = 57;  // prefill rate of the engines in the large deployment
 constexpr std::uint32_t kShared = 6'300;
 constexpr std::uint32_t kOwn = 2'900;
 constexpr double kObjectiveMs = 600;
@@ -45,36 +45,36 @@
   return parts;
 }
 
-/// What is true of an engine: what it has to read, and the subjects it holds, the
-/// last used first. Half of its memory is taken by what runs.
+/// The actual state of an engine: its prefill queue and the subjects in its cache, most recently
+/// used first. Running requests take up half of its memory.
 struct Engine {
-  double unread = 0;
+  double queued_tokens = 0;
   std::deque<std::uint64_t> subjects;
 
-  static constexpr std::size_t kMostSubjects = 8;
+  static constexpr std::size_t kMaxSubjects = 8;
 
-  bool Holds(std::uint64_t subject) const {
+  bool HasCached(std::uint64_t subject) const {
     return std::ranges::find(subjects, subject) != subjects.end();
   }
   void Use(std::uint64_t subject) {
     std::erase(subjects, subject);
     subjects.push_front(subject);
-    if (subjects.size() > kMostSubjects) subjects.pop_back();
+    if (subjects.size() > kMaxSubjects) subjects.pop_back();
   }
 };
 
-/// Gateways that place prompts of 300 subjects in turn, at three quarters of what
-/// the engines could read if they held nothing.
+/// Gateways that place prompts with 300 subjects in random order, at three quarters of the load
+/// that the engines could prefill with empty caches.
 struct Fixture {
   net::io_context io;
   Metrics metrics;
   std::vector<std::unique_ptr<GatewayState>> gateways;
   std::map<BackendHash, Engine> engines;
   std::minstd_rand random{7};
-  const std::set<BackendId> tried;  ///< none
-  int in_time = 0;
+  const std::set<BackendId> tried;  ///< no backend server was tried before
+  int within_objective = 0;
   int placed = 0;
-  double read = 0;
+  double prefilled_tokens = 0;
 
   Fixture() {
     for (int g = 0; g < kGateways; ++g) {
@@ -97,8 +97,8 @@
 
   static ZoneId ZoneOf(int number) { return ZoneId("z" + std::to_string(number % 4)); }
 
-  /// All gateways are answered, or none.
-  void Answer(bool answered) {
+  /// Sets whether the trackers answer the load queries of all gateways.
+  void SetTrackersAnswer(bool answered) {
     for (auto& state : gateways) {
       state->SetLoadAsker([this, answered](LoadQuestion question) -> net::awaitable<LoadAnswer> {
         LoadAnswer answer;
@@ -113,14 +113,14 @@
       const Engine& engine = engines[HashOf(*backend)];
       BackendReport report;
       report.backend = HashOf(*backend);
-      report.work.unread_tokens = static_cast<std::uint32_t>(engine.unread);
-      const bool held = !question.parts.empty() && engine.Holds(question.parts.back().hash);
+      report.work.unread_tokens = static_cast<std::uint32_t>(engine.queued_tokens);
+      const bool held = !question.parts.empty() && engine.HasCached(question.parts.back().hash);
       if (held) report.prefix_match = {kShared, kShared, 0};
       answer.backends[report.backend] = report;
     }
     if (!question.home) return;
     for (const auto& [hash, engine] : engines) {
-      if (engine.Holds(question.parts.back().hash)) answer.holders.push_back(hash);
+      if (engine.HasCached(question.parts.back().hash)) answer.holders.push_back(hash);
     }
   }
 
@@ -143,59 +143,60 @@
     BOOST_REQUIRE(choice.has_value());
     Engine& engine = engines[HashOf(*choice->backend)];
     const std::uint64_t hash = plan.chain->parts.back().hash;
-    const bool there = engine.Holds(hash) || choice->fetch_backend != nullptr;
-    const double tokens = kOwn + (there ? 0 : kShared);
-    engine.unread += tokens;
+    const bool cached = engine.HasCached(hash) || choice->fetch_backend != nullptr;
+    const double tokens = kOwn + (cached ? 0 : kShared);
+    engine.queued_tokens += tokens;
     engine.Use(hash);
-    read += tokens;
+    prefilled_tokens += tokens;
     ++placed;
-    if (engine.unread / kTokensPerMs <= kObjectiveMs) ++in_time;
+    if (engine.queued_tokens / kTokensPerMs <= kObjectiveMs) ++within_objective;
   }
 
-  /// A second and a half of arrivals.
-  void Play() {
+  /// Simulates 1.5 s of arrivals.
+  void RunArrivals() {
     constexpr double kRequestsPerMs = 0.75 * kEngines * kTokensPerMs / (kShared + kOwn);
     double due = 0;
     for (int ms = 0; ms < 1'500; ++ms) {
       for (due += kRequestsPerMs; due >= 1; due -= 1) Place(random() % 300);
       for (auto& [hash, engine] : engines)
-        engine.unread = std::max(0.0, engine.unread - kTokensPerMs);
+        engine.queued_tokens = std::max(0.0, engine.queued_tokens - kTokensPerMs);
     }
   }
 
-  double InTime() const { return static_cast<double>(in_time) / placed; }
-  double ReadEach() const { return read / placed; }
+  double WithinObjective() const { return static_cast<double>(within_objective) / placed; }
+  double MeanTokensPrefilled() const { return prefilled_tokens / placed; }
 };
 
 }  // namespace
 
-BOOST_FIXTURE_TEST_SUITE(asked_choice, Fixture)
-
-// The pattern: caches are empty, as after weights were named, and forty gateways
-// place prompts at 60 engines none of them has heard of. 0.95 is what users of the
-// tail ask for in such seconds.
-BOOST_AUTO_TEST_CASE(prompts_are_in_time_where_answers_tell_who_is_busy_and_who_holds) {
-  Answer(true);
-  Play();
-  BOOST_TEST(InTime() > 0.95);
-  // Most subjects are read once and found or fetched after that.
-  BOOST_TEST(ReadEach() < kOwn + 0.7 * kShared);
+BOOST_FIXTURE_TEST_SUITE(polled_choice, Fixture)
+
+// Caches are empty, as after new weights, and forty gateways place prompts on 60 engines that none
+// of them has gossip about. Without load queries the gateways would overload some engines; 0.95 is
+// the share of requests that users expect within the objective at such times.
+BOOST_AUTO_TEST_CASE(prompts_meet_the_objective_when_trackers_report_load_and_cached_prefixes) {
+  SetTrackersAnswer(true);
+  RunArrivals();
+  BOOST_TEST(WithinObjective() > 0.95);
+  // Most subjects are prefilled once and then found in the cache or fetched.
+  BOOST_TEST(MeanTokensPrefilled() < kOwn + 0.7 * kShared);
 }
 
-// The same with every tracker silent: worse, but prompts still go to their homes.
-BOOST_AUTO_TEST_CASE(silent_trackers_cost_time_and_not_the_service) {
-  Answer(false);
-  Play();
-  const double without = InTime();
+// The same load while no tracker answers: more requests miss the objective, but prompts still go to
+// their homes.
+BOOST_AUTO_TEST_CASE(placement_still_works_when_no_tracker_answers) {
+  SetTrackersAnswer(false);
+  RunArrivals();
+  const double without_answers = WithinObjective();
   BOOST_TEST(placed > 0);
-  Fixture answered;
-  answered.Answer(true);
-  answered.Play();
-  BOOST_TEST(without < answered.InTime());
+  Fixture with_answers;
+  with_answers.SetTrackersAnswer(true);
+  with_answers.RunArrivals();
+  BOOST_TEST(without_answers < with_answers.WithinObjective());
 }
 
 BOOST_AUTO_TEST_CASE(no_candidate_gives_no_choice) {
-  Answer(true);
+  SetTrackersAnswer(true);
   GatewayState& state = *gateways[0];
   for (int e = 0; e < kEngines; ++e) {
     state.directory().Remove(BackendId("e" + std::to_string(e)), Duration::zero(), Clock::now());
--- a/libs/gateway/test/prefix_shares-test.cc
+++ b/libs/gateway/test/prefix_shares-test.cc
@@ -14,13 +14,13 @@
 
 BOOST_AUTO_TEST_SUITE(prefix_shares)
 
-BOOST_AUTO_TEST_CASE(everything_is_one_segment_before_anything_is_known) {
+BOOST_AUTO_TEST_CASE(whole_ring_is_one_segment_before_the_first_record) {
   const RingSegment segment = PrefixShares().SegmentOf(7);
   BOOST_TEST(segment.begin == 0);
   BOOST_TEST(segment.length == 1);
 }
 
-BOOST_AUTO_TEST_CASE(segments_are_as_long_as_their_share_and_lie_side_by_side) {
+BOOST_AUTO_TEST_CASE(segments_are_adjacent_and_proportional_to_their_share) {
   PrefixShares shares;
   shares.Record(30, 1'000, kStart);
   shares.Record(10, 3'000, kStart);
@@ -33,7 +33,7 @@
   BOOST_TEST(shares.SegmentOf(25).length == 0);
 }
 
-BOOST_AUTO_TEST_CASE(beginnings_that_are_asked_for_no_more_are_forgotten) {
+BOOST_AUTO_TEST_CASE(unused_first_parts_are_forgotten) {
   PrefixShares shares;
   shares.Record(10, 8'000, kStart);
   for (int i = 1; i <= 8; ++i) shares.Record(20, 8'000, kStart + i * PrefixShares::kHalfLife);
@@ -41,7 +41,7 @@
   BOOST_TEST(shares.SegmentOf(20).length == 1);
 }
 
-RC_BOOST_PROP(segments_never_leave_the_circle, ()) {
+RC_BOOST_PROP(segments_stay_within_the_ring, ()) {
   PrefixShares shares;
   TimePoint now = kStart;
   const auto count = *rc::gen::inRange(1, 60);
--- a/libs/gateway/test/request_fingerprint-test.cc
+++ b/libs/gateway/test/request_fingerprint-test.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// A request as callers send it.
+/// A request as sent by a caller.
 struct Sample {
   WorkspaceId workspace{"w"};
   InboundRequest inbound;
@@ -27,7 +27,7 @@
 
 BOOST_AUTO_TEST_SUITE(request_fingerprint)
 
-BOOST_AUTO_TEST_CASE(copies_are_the_same_whatever_their_id_and_deadline) {
+BOOST_AUTO_TEST_CASE(request_id_and_deadline_do_not_change_the_fingerprint) {
   Sample copy;
   copy.inbound.id = RequestId("r2");
   copy.inbound.time_limit = std::chrono::milliseconds(7);
@@ -35,7 +35,7 @@
   BOOST_TEST(Sample().Make() == copy.Make());
 }
 
-BOOST_AUTO_TEST_CASE(other_workspace_method_host_path_query_or_body_differ) {
+BOOST_AUTO_TEST_CASE(workspace_method_host_path_query_and_body_change_the_fingerprint) {
   std::vector<Sample> others(6);
   others[0].workspace = WorkspaceId("other");
   others[1].message.method(http::verb::get);
@@ -48,7 +48,7 @@
   BOOST_TEST(seen.size() == 7U);
 }
 
-BOOST_AUTO_TEST_CASE(text_does_not_move_from_one_field_to_the_next) {
+BOOST_AUTO_TEST_CASE(moving_bytes_between_fields_changes_the_fingerprint) {
   Sample longer_path;
   longer_path.message.target("/gen/x?q=1a");
   longer_path.message.body() = "b";
@@ -57,7 +57,7 @@
   BOOST_TEST(longer_path.Make() != longer_body.Make());
 }
 
-BOOST_AUTO_TEST_CASE(a_body_that_differs_in_any_byte_is_another_request) {
+BOOST_AUTO_TEST_CASE(any_different_body_byte_changes_the_fingerprint) {
   Sample other;
   other.message.body() = R"({"prompt": "a"})";
   BOOST_TEST(Sample().Make() != other.Make());
--- a/libs/gateway/test/routing_snapshot-test.cc
+++ b/libs/gateway/test/routing_snapshot-test.cc
@@ -45,18 +45,18 @@
   BOOST_TEST((*snapshot)->FindRoute("other", "/a/") == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(unknown_service_and_doubled_route_are_refused) {
-  RouteRule lost = Route("a", "/a/");
-  lost.targets = {{ServiceId("none"), 1}};
+BOOST_AUTO_TEST_CASE(unknown_service_and_duplicate_route_are_rejected) {
+  RouteRule dangling = Route("a", "/a/");
+  dangling.targets = {{ServiceId("none"), 1}};
   const auto code_of = [](RoutingConfig parts) {
     return FailureOf([&] { return RoutingSnapshot::Create(std::move(parts)); })->code;
   };
-  BOOST_TEST((code_of(Parts({lost})) == ResultCode::kInvalidCommand));
+  BOOST_TEST((code_of(Parts({dangling})) == ResultCode::kInvalidCommand));
   BOOST_TEST(
       (code_of(Parts({Route("a", "/a/"), Route("b", "/a/")})) == ResultCode::kInvalidCommand));
 }
 
-BOOST_AUTO_TEST_CASE(targets_are_picked_by_weight_and_alike_for_equal_requests) {
+BOOST_AUTO_TEST_CASE(targets_are_picked_by_weight_and_stable_for_equal_request_ids) {
   RouteRule route = Route("a", "/a/");
   route.targets = {{ServiceId("s"), 90}, {ServiceId("t"), 10}, {ServiceId("u"), 0}};
   std::map<std::string, int> picked;
@@ -70,7 +70,7 @@
   BOOST_TEST(picked["u"] == 0);
 }
 
-BOOST_AUTO_TEST_CASE(kept_parts_are_spread_over_all_stores_and_move_only_with_their_store) {
+BOOST_AUTO_TEST_CASE(parts_are_spread_over_all_stores_and_move_only_to_a_new_store) {
   const auto with_stores = [](int count) {
     RoutingConfig parts = Parts({});
     for (int i = 0; i < count; ++i) {
--- a/libs/gateway/test/sampled_shares-test.cc
+++ b/libs/gateway/test/sampled_shares-test.cc
@@ -15,13 +15,13 @@
 
 BOOST_AUTO_TEST_SUITE(sampled_shares)
 
-BOOST_AUTO_TEST_CASE(unknown_beginning_has_the_whole_circle) {
+BOOST_AUTO_TEST_CASE(unknown_first_part_has_the_whole_ring) {
   const SampledShares shares;
   BOOST_TEST(shares.SegmentOf(7).begin == 0);
   BOOST_TEST(shares.SegmentOf(7).length == 1);
 }
 
-BOOST_AUTO_TEST_CASE(segments_lie_side_by_side) {
+BOOST_AUTO_TEST_CASE(segments_are_adjacent) {
   SampledShares shares;
   shares.Record(1, 100'000, 400'000, kStart);
   shares.Record(2, 300'000, 400'000, kStart);
@@ -31,7 +31,7 @@
   BOOST_TEST(shares.SegmentOf(2).length == 0.75);
 }
 
-BOOST_AUTO_TEST_CASE(old_samples_fade) {
+BOOST_AUTO_TEST_CASE(old_samples_decay) {
   SampledShares shares;
   shares.Record(1, 400'000, 400'000, kStart);
   for (int i = 1; i <= 20; ++i) {
@@ -40,25 +40,25 @@
   BOOST_TEST(shares.SegmentOf(2).length == 1);
 }
 
-// The pattern: 295 gateways that each see some 35 long prompts in ten seconds, with
-// four beginnings. Two of them agree on the segments by what others tell.
-BOOST_AUTO_TEST_CASE(gateways_that_see_little_agree_by_what_others_tell) {
+// 295 gateways each see about 35 long prompts in ten seconds, with four first parts. Too few to
+// estimate shares alone: two gateways must agree on the segments through samples of the others.
+BOOST_AUTO_TEST_CASE(gateways_with_few_requests_agree_through_the_samples_of_others) {
   std::minstd_rand random(3);
   std::vector<PrefixShares> gateways(295);
   for (PrefixShares& gateway : gateways) {
     for (int request = 0; request < 35; ++request) gateway.Record(1 + random() % 4, 9'000, kStart);
   }
-  const auto learn = [&] {
+  const auto collect_samples = [&] {
     SampledShares shares;
     for (int answer = 0; answer < 200; ++answer) {
-      const PrefixShares& told = gateways[random() % gateways.size()];
+      const PrefixShares& sampled = gateways[random() % gateways.size()];
       const std::uint64_t first = 1 + random() % 4;
-      shares.Record(first, told.TokensOf(first), told.total(), kStart);
+      shares.Record(first, sampled.TokensOf(first), sampled.total(), kStart);
     }
     return shares;
   };
-  const SampledShares one = learn();
-  const SampledShares other = learn();
+  const SampledShares one = collect_samples();
+  const SampledShares other = collect_samples();
   for (std::uint64_t first = 1; first <= 4; ++first) {
     BOOST_TEST(std::abs(one.SegmentOf(first).begin - other.SegmentOf(first).begin) < 0.03);
     BOOST_TEST(std::abs(one.SegmentOf(first).length - 0.25) < 0.03);
--- a/libs/gateway/test/shortlist-test.cc
+++ b/libs/gateway/test/shortlist-test.cc
@@ -35,10 +35,10 @@
     query.model = kModel;
     query.newest_weights = WeightsNumber(1);
     query.now = kNow;
-    Share(6'300);
+    SetPrompt(6'300);
   }
 
-  void Share(std::uint32_t tokens, std::uint64_t subject = 5) {
+  void SetPrompt(std::uint32_t tokens, std::uint64_t subject = 5) {
     chain.parts = {{subject, tokens}};
     chain.shared_tokens = tokens;
     chain.prompt_tokens = tokens + 2'900;
@@ -55,7 +55,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(shortlist, Fixture)
 
-BOOST_AUTO_TEST_CASE(long_prompt_asks_its_homes_and_drawn_ones_of_the_own_zone) {
+BOOST_AUTO_TEST_CASE(long_prefix_polls_its_homes_and_random_engines_of_the_own_zone) {
   const auto first = Shortlist(query, engines);
   BOOST_TEST(first.size() == sizes.homes + sizes.random_picks);
   query.random_seed = 9;
@@ -68,10 +68,10 @@
   BOOST_TEST(Ids(first).size() == first.size());
 }
 
-BOOST_AUTO_TEST_CASE(homes_are_the_same_for_all_gateways_and_spread) {
+BOOST_AUTO_TEST_CASE(homes_are_the_same_for_all_gateways_and_cover_all_engines) {
   std::map<std::string, int> homes;
   for (std::uint64_t subject = 0; subject < 2'616; ++subject) {
-    Share(6'300, subject);
+    SetPrompt(6'300, subject);
     query.own_zone = ZoneId("z0");
     query.gateway = 11;
     const auto here = Shortlist(query, engines);
@@ -83,8 +83,8 @@
   BOOST_TEST(homes.size() == 240U);
 }
 
-// The pattern: weights are loaded by a fifth of the engines at a time. Homes that
-// follow the newest weights would lead all prompts to the first fifth.
+// A fifth of the engines at a time load new weights. If homes followed the newest weights, the
+// first fifth would become the home of all prompts.
 BOOST_AUTO_TEST_CASE(homes_stay_while_weights_are_loaded) {
   const auto before = Shortlist(query, engines);
   query.newest_weights = WeightsNumber(2);
@@ -98,38 +98,38 @@
   BOOST_TEST((during[2]->weights.at(kModel) == WeightsNumber(2)));
 }
 
-BOOST_AUTO_TEST_CASE(homes_are_among_the_loaded_once_these_are_half) {
+BOOST_AUTO_TEST_CASE(homes_move_to_loaded_engines_once_half_have_loaded) {
   query.newest_weights = WeightsNumber(2);
   for (std::size_t i = 0; i < 120; ++i) engines[i]->weights[kModel] = WeightsNumber(2);
   for (std::uint64_t subject = 0; subject < 50; ++subject) {
-    Share(6'300, subject);
+    SetPrompt(6'300, subject);
     for (const BackendPtr& engine : Shortlist(query, engines)) {
       BOOST_TEST((engine->weights.at(kModel) == WeightsNumber(2)));
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(homes_lie_in_the_segment_of_the_beginning) {
+BOOST_AUTO_TEST_CASE(homes_lie_in_the_segment_of_the_first_part) {
   query.segment = {0.5, 0.25};
   std::set<std::string> homes;
   for (std::uint64_t subject = 0; subject < 1'000; ++subject) {
-    Share(6'300, subject);
+    SetPrompt(6'300, subject);
     homes.insert(Shortlist(query, engines)[0]->entry.id.value());
   }
   BOOST_TEST(homes.size() > 35U);
   BOOST_TEST(homes.size() < 85U);
-  // A rare beginning keeps to very few.
+  // A rare first part stays on very few engines.
   query.segment = {0.5, 0};
   homes.clear();
   for (std::uint64_t subject = 0; subject < 100; ++subject) {
-    Share(6'300, subject);
+    SetPrompt(6'300, subject);
     homes.insert(Shortlist(query, engines)[0]->entry.id.value());
   }
   BOOST_TEST(homes.size() <= 6U);
 }
 
-BOOST_AUTO_TEST_CASE(short_prompts_and_calls_use_few_engines_of_the_own_zone) {
-  Share(198);
+BOOST_AUTO_TEST_CASE(short_prefixes_and_plain_calls_use_a_subset_of_the_own_zone) {
+  SetPrompt(198);
   std::set<std::string> used;
   for (query.random_seed = 0; query.random_seed < 200; ++query.random_seed) {
     const auto list = Shortlist(query, engines);
@@ -146,8 +146,8 @@
   BOOST_TEST(Shortlist(query, engines).size() == sizes.subset_sample);
 }
 
-BOOST_AUTO_TEST_CASE(zone_with_few_engines_asks_others_too) {
-  Share(198);
+BOOST_AUTO_TEST_CASE(zone_with_few_engines_polls_other_zones_too) {
+  SetPrompt(198);
   std::erase_if(engines, [&](const BackendPtr& engine) {
     return engine->entry.zone == query.own_zone && engine->entry.id != BackendId("e0");
   });
@@ -156,7 +156,7 @@
   BOOST_TEST(Ids(list).contains("e0"));
 }
 
-BOOST_AUTO_TEST_CASE(what_is_known_to_be_bad_is_asked_only_before_none) {
+BOOST_AUTO_TEST_CASE(unhealthy_engines_are_polled_only_if_there_are_no_others) {
   const BackendPtr home = Shortlist(query, engines)[0];
   home->avoid_until = kNow + 1s;
   BOOST_TEST(!Ids(Shortlist(query, engines)).contains(home->entry.id.value()));
@@ -168,7 +168,7 @@
   BOOST_TEST(!Shortlist(query, engines).empty());
 }
 
-BOOST_AUTO_TEST_CASE(widened_list_has_others_of_all_zones) {
+BOOST_AUTO_TEST_CASE(extension_has_other_engines_of_all_zones) {
   const auto list = Shortlist(query, engines);
   std::set<std::string> zones;
   for (query.random_seed = 0; query.random_seed < 50; ++query.random_seed) {
@@ -182,7 +182,7 @@
   BOOST_TEST(zones.size() == 6U);
 }
 
-RC_BOOST_FIXTURE_PROP(any_fleet_gives_a_list_without_repeats, Fixture, ()) {
+RC_BOOST_FIXTURE_PROP(shortlist_has_no_duplicates_for_any_fleet, Fixture, ()) {
   engines.resize(*rc::gen::inRange<std::size_t>(1, 30));
   for (const BackendPtr& engine : engines) {
     engine->reachable = *rc::gen::arbitrary<bool>();
@@ -190,7 +190,7 @@
   }
   query.newest_weights = WeightsNumber(2);
   query.random_seed = *rc::gen::arbitrary<std::uint64_t>();
-  Share(*rc::gen::elementOf(std::vector<std::uint32_t>{0, 198, 6'300}));
+  SetPrompt(*rc::gen::elementOf(std::vector<std::uint32_t>{0, 198, 6'300}));
   const auto list = Shortlist(query, engines);
   RC_ASSERT(!list.empty());
   RC_ASSERT(Ids(list).size() == list.size());
--- a/libs/gateway/test/transfer_links-test.cc
+++ b/libs/gateway/test/transfer_links-test.cc
@@ -15,7 +15,7 @@
 
 BOOST_AUTO_TEST_SUITE(transfer_links)
 
-BOOST_AUTO_TEST_CASE(transfers_wait_for_those_before_them) {
+BOOST_AUTO_TEST_CASE(transfers_queue_behind_earlier_ones) {
   TransferLinks links;
   BOOST_TEST((links.QueueDelay(kLink, kNow) == 0ms));
   links.Reserve(kLink, 46ms, kNow);
@@ -24,17 +24,17 @@
   BOOST_TEST((links.QueueDelay(kLink, kNow + 200ms) == 0ms));
 }
 
-BOOST_AUTO_TEST_CASE(links_do_not_wait_for_each_other) {
+BOOST_AUTO_TEST_CASE(links_are_independent) {
   TransferLinks links;
   links.Reserve(kLink, 1s, kNow);
   BOOST_TEST((links.QueueDelay(kLink + 1, kNow) == 0ms));
 }
 
-RC_BOOST_PROP(nonsense_keeps_no_link_busy_for_ever, ()) {
+RC_BOOST_PROP(arbitrary_durations_never_block_a_link_forever, ()) {
   TransferLinks links;
-  const auto lengths = *rc::gen::container<std::vector<std::int64_t>>(
+  const auto durations = *rc::gen::container<std::vector<std::int64_t>>(
       rc::gen::inRange<std::int64_t>(-5'000'000, 5'000'000));
-  for (const std::int64_t length : lengths) links.Reserve(kLink, Duration(length), kNow);
+  for (const std::int64_t duration : durations) links.Reserve(kLink, Duration(duration), kNow);
   RC_ASSERT(links.QueueDelay(kLink, kNow) >= 0ms);
   RC_ASSERT(links.QueueDelay(kLink, kNow) <= TransferLinks::kMaxWait + 5s);
 }
--- a/libs/gateway/test/weights_history-test.cc
+++ b/libs/gateway/test/weights_history-test.cc
@@ -15,56 +15,57 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_SUITE(named_weights)
+BOOST_AUTO_TEST_SUITE(weights_history)
 
-BOOST_AUTO_TEST_CASE(newest_is_never_outdated) {
-  WeightsHistory named;
-  BOOST_TEST(named.Record(kModel, N(2), kStart));
-  BOOST_TEST(!named.SupersededSince(kModel, N(2)).has_value());
-  BOOST_TEST((named.SupersededSince(kModel, N(1)).value() == kStart));
+BOOST_AUTO_TEST_CASE(newest_weights_are_never_superseded) {
+  WeightsHistory history;
+  BOOST_TEST(history.Record(kModel, N(2), kStart));
+  BOOST_TEST(!history.SupersededSince(kModel, N(2)).has_value());
+  BOOST_TEST((history.SupersededSince(kModel, N(1)).value() == kStart));
 }
 
-// Found on quiet-1 of both sites: each naming had reset the clock of the one before.
-BOOST_AUTO_TEST_CASE(later_naming_does_not_renew_what_an_earlier_one_outdated) {
-  WeightsHistory named;
-  named.Record(kModel, N(2), kStart);
-  named.Record(kModel, N(3), kStart + 5s);
-  BOOST_TEST((named.SupersededSince(kModel, N(1)).value() == kStart));
-  BOOST_TEST((named.SupersededSince(kModel, N(2)).value() == kStart + 5s));
+// Guards against an announcement resetting the age of weights that an earlier one superseded.
+BOOST_AUTO_TEST_CASE(later_announcement_does_not_reset_an_earlier_supersession) {
+  WeightsHistory history;
+  history.Record(kModel, N(2), kStart);
+  history.Record(kModel, N(3), kStart + 5s);
+  BOOST_TEST((history.SupersededSince(kModel, N(1)).value() == kStart));
+  BOOST_TEST((history.SupersededSince(kModel, N(2)).value() == kStart + 5s));
 }
 
-// Found on trouble-2 of tbw-depots: a restarted gateway saw the newest number only.
-BOOST_AUTO_TEST_CASE(peers_ages_correct_what_a_start_has_assumed) {
-  WeightsHistory named;
-  named.Record(kModel, N(3), kStart + 20s);
-  BOOST_TEST(!named.Record(kModel, N(2), kStart));
-  BOOST_TEST((named.SupersededSince(kModel, N(1)).value() == kStart));
-  named.Record(kModel, N(3), kStart + 14s);
-  BOOST_TEST((named.SupersededSince(kModel, N(2)).value() == kStart + 14s));
+// A restarted gateway sees only the newest number at first and learns of earlier announcements from
+// its peers.
+BOOST_AUTO_TEST_CASE(announcement_times_from_peers_correct_those_recorded_at_start) {
+  WeightsHistory history;
+  history.Record(kModel, N(3), kStart + 20s);
+  BOOST_TEST(!history.Record(kModel, N(2), kStart));
+  BOOST_TEST((history.SupersededSince(kModel, N(1)).value() == kStart));
+  history.Record(kModel, N(3), kStart + 14s);
+  BOOST_TEST((history.SupersededSince(kModel, N(2)).value() == kStart + 14s));
 }
 
-// Found in an incident of tbw-depots: what one start assumed was taken by all
-// gateways, and requests were refused 3 s too early.
-BOOST_AUTO_TEST_CASE(assumed_moment_gives_way_to_a_known_one_and_never_replaces_it) {
-  WeightsHistory named;
-  named.Record(kModel, N(3), kStart - 5s, true);
-  BOOST_TEST((named.SupersededSince(kModel, N(2)).value() == kStart - 5s));
-  named.Record(kModel, N(3), kStart);
-  BOOST_TEST((named.SupersededSince(kModel, N(2)).value() == kStart));
-  named.Record(kModel, N(3), kStart - 9s, true);
-  BOOST_TEST((named.SupersededSince(kModel, N(2)).value() == kStart));
+// Guards against all gateways adopting the time that one of them assumed at its start, which made
+// them refuse requests 3 s too early.
+BOOST_AUTO_TEST_CASE(known_time_replaces_an_assumed_one_and_not_the_reverse) {
+  WeightsHistory history;
+  history.Record(kModel, N(3), kStart - 5s, true);
+  BOOST_TEST((history.SupersededSince(kModel, N(2)).value() == kStart - 5s));
+  history.Record(kModel, N(3), kStart);
+  BOOST_TEST((history.SupersededSince(kModel, N(2)).value() == kStart));
+  history.Record(kModel, N(3), kStart - 9s, true);
+  BOOST_TEST((history.SupersededSince(kModel, N(2)).value() == kStart));
 }
 
-RC_BOOST_PROP(order_of_tellings_does_not_matter, ()) {
-  const auto tellings = *rc::gen::container<std::vector<std::pair<int, int>>>(
+RC_BOOST_PROP(result_does_not_depend_on_the_order_of_announcements, ()) {
+  const auto announcements = *rc::gen::container<std::vector<std::pair<int, int>>>(
       rc::gen::pair(rc::gen::inRange(1, 8), rc::gen::inRange(0, 60)));
   WeightsHistory forward;
   WeightsHistory backward;
-  for (const auto& [number, second] : tellings) {
+  for (const auto& [number, second] : announcements) {
     forward.Record(kModel, N(static_cast<std::uint64_t>(number)),
                    kStart + std::chrono::seconds(second));
   }
-  for (auto at = tellings.rbegin(); at != tellings.rend(); ++at) {
+  for (auto at = announcements.rbegin(); at != announcements.rend(); ++at) {
     backward.Record(kModel, N(static_cast<std::uint64_t>(at->first)),
                     kStart + std::chrono::seconds(at->second));
   }
