--- a/libs/entry/include/entry/entry_instance.h
+++ b/libs/entry/include/entry/entry_instance.h
@@ -172,7 +172,7 @@
 
   static PlacementCosts WeightsOf(const EntryTuning& tuning) {
     PlacementCosts weights = tuning.placement;
-    weights.older_weights_free = std::chrono::milliseconds(tuning.older_weights_free_ms);
+    weights.older_weights_grace = std::chrono::milliseconds(tuning.older_weights_free_ms);
     return weights;
   }
 
--- a/libs/entry/src/state_dump.cc
+++ b/libs/entry/src/state_dump.cc
@@ -92,7 +92,7 @@
                      {"number", word.number()},
                      {"limit", asked->limit ? json(asked->limit->per_second()) : json()},
                      {"leaving", asked->leaving},
-                     {"rest_left_ms", asked->rest_left.count() / 1'000},
+                     {"rest_left_ms", asked->cool_down_left.count() / 1'000},
                      {"barred_ms", barred.count() / 1'000},
                      {"heard_ms_ago", asked->age.count() / 1'000}});
   }
--- a/libs/entry/src/tuning_options.cc
+++ b/libs/entry/src/tuning_options.cc
@@ -50,7 +50,7 @@
   Add("placement.prefill-tokens-per-ms", placement.prefill_tokens_per_ms, "Speed of an engine");
   Add("placement.per-running-request", placement.per_running_request,
       "ms that a running request adds to the wait");
-  Add("placement.other-zone", placement.other_zone, "ms to another zone");
+  Add("placement.other-zone", placement.cross_zone, "ms to another zone");
   Add("placement.fetch-call", placement.fetch_call, "ms of a fetch of shared parts");
   Add("placement.fetch-token", placement.fetch_token,
       "ms for each token fetched, with what it evicts");
@@ -65,7 +65,7 @@
   Add("placement.older-weights", placement.older_weights, "ms by which older weights are worse");
   AddPart("placement.doubtful-part", placement.eviction_risk_fraction,
           "part of an engine's memory, its oldest, where cached parts may be evicted");
-  Add("placement.observe-speed", placement.observe_speed,
+  Add("placement.observe-speed", placement.estimate_prefill_rate,
       "the speed of engines is taken from first events");
   Add("placement.engines-as-sources", placement.engines_as_sources,
       "parts are fetched from engines, too, where there is a store");
--- a/libs/entry/test/tuning_options-test.cc
+++ b/libs/entry/test/tuning_options-test.cc
@@ -47,7 +47,7 @@
       "[limits]\nstream-patience = 7.5\n[rollout]\nengines-for-each-load = 4\n");
   BOOST_REQUIRE_MESSAGE(!failure, (failure ? failure->detail : std::string()));
   BOOST_TEST(tuning.placement.older_weights == 61);
-  BOOST_TEST(!tuning.placement.observe_speed);
+  BOOST_TEST(!tuning.placement.estimate_prefill_rate);
   BOOST_TEST(tuning.stream_patience == 7.5);
   BOOST_TEST(tuning.engines_for_each_load == 4U);
   const auto in_force = options.InForce();
--- a/libs/gateway/include/gateway/backend_directory.h
+++ b/libs/gateway/include/gateway/backend_directory.h
@@ -102,10 +102,10 @@
   static constexpr double kErrorRateStep = 0.15;
 
   /// Adds or updates a registration. A new backend server at an address supersedes those registered
-  /// there before: their own registrations lapse only seconds later, and each request sent there
-  /// meanwhile costs a retry (184 in 14 s when a third of the engines crashed three times). A later
-  /// start under a known id replaces the entry, because the new process has none of the old one's
-  /// cache or requests.
+  /// there before, because their own registrations lapse only seconds later and each request sent
+  /// there meanwhile costs a retry (184 in 14 s when a third of the engines crashed three times). A
+  /// later start under a known id replaces the entry, because the new process has none of the old
+  /// one's cache or requests.
   Registration Put(const BackendEntry& entry);
 
   /// Sets the services of the configuration. Registrations for other services are kept, in case the
--- a/libs/gateway/include/gateway/exchange.h
+++ b/libs/gateway/include/gateway/exchange.h
@@ -201,7 +201,7 @@
     record_.backend = backend.entry.id;
     record_.expected_ms = choice.expected_ms;
     record_.first_event_ms = choice.first_event_ms;
-    record_.tokens_to_read = choice.tokens_to_read;
+    record_.tokens_to_prefill = choice.tokens_to_prefill;
     if (plan_.chain && !plan_.chain->parts.empty()) {
       record_.shared_parts = plan_.chain->parts.back().hash;
       record_.shared_tokens = plan_.chain->shared_tokens;
--- a/libs/gateway/include/gateway/exchange_plan.h
+++ b/libs/gateway/include/gateway/exchange_plan.h
@@ -41,9 +41,9 @@
 struct BackendChoice {
   BackendPtr backend;
   double queued_tokens = 0;           ///< tokens the engine has to prefill first
-  double tokens_to_read = 0;          ///< prompt tokens not expected in its cache
+  double tokens_to_prefill = 0;       ///< prompt tokens not expected in its cache
   std::uint32_t known_tokens = 0;     ///< shared tokens expected in its cache
-  std::uint32_t tokens_to_store = 0;  ///< tokens added to its cache, read or fetched
+  std::uint32_t tokens_to_cache = 0;  ///< tokens added to its cache, read or fetched
   double expected_ms = 0;             ///< cost of the placement, see Placement
   double queue_ms = 0;                ///< of that, until queued prompts are prefilled
   double first_event_ms = 0;          ///< of that, until this prompt is prefilled
--- a/libs/gateway/include/gateway/load_report.h
+++ b/libs/gateway/include/gateway/load_report.h
@@ -27,8 +27,7 @@
   ModelId model;
   WeightsNumber weights;            ///< weights under which the store's parts were computed
   std::optional<StoreQuery> store;  ///< none: nothing is fetched from a store
-  BackendPtr
-      home;  ///< backend server whose tracker reports which engines hold the parts; null: none
+  BackendPtr home;                  ///< its tracker reports who holds the parts; null: none
 };
 
 /// The state of a backend server, reported by the gateway that tracks it.
--- a/libs/gateway/include/gateway/placement.h
+++ b/libs/gateway/include/gateway/placement.h
@@ -42,7 +42,7 @@
   /// Added to the wait for the first event by each running request.
   double per_running_request = 0.6;
   /// Round trip to another zone, and the price of traffic between zones.
-  double other_zone = 6;
+  double cross_zone = 6;
   /// Cost of fetching shared parts from another engine, for each call and each token; doubled if it
   /// is in another zone.
   double fetch_call = 8;
@@ -54,7 +54,7 @@
   /// prefill time that it saves.
   double reprefill_factor = 2;
   /// If false, `prefill_tokens_per_ms` is used whatever the first events show.
-  bool observe_speed = true;
+  bool estimate_prefill_rate = true;
   /// If false, parts are fetched only from the store where there is one.
   bool engines_as_sources = true;
   /// If false, links are assumed to be idle.
@@ -66,10 +66,10 @@
   double per_running_call = 20;
   /// Cost of a backend server whose answers all fail.
   double error_penalty = 400;
-  /// Cost of older weights once the newest were announced `older_weights_free` ago.
+  /// Cost of older weights once the newest were announced `older_weights_grace` ago.
   double older_weights = 150;
   /// Older weights cost nothing for this long after newer ones were announced.
-  std::chrono::milliseconds older_weights_free{1'000};
+  std::chrono::milliseconds older_weights_grace{1'000};
   /// Parts are assumed to be prefilled, and can be fetched, this long after they were added.
   std::chrono::milliseconds prefill_delay{250};
   /// The least recently used fraction of an engine's memory that may already be evicted: running
@@ -102,10 +102,10 @@
   const PromptChain* chain = nullptr;  ///< null for calls to plain services
   ModelId model;
   std::optional<WeightsNumber> newest_weights;
-  std::optional<TimePoint> newest_since;  ///< when they were announced
-  std::uint64_t cache_tokens = 0;         ///< memory of one engine, in tokens
-  std::optional<KvStoreView> store;       ///< the KV cache store, if there is one
-  const TransferLinks* links = nullptr;   ///< null: assumed to be idle
+  std::optional<TimePoint> newest_announced_at;  ///< when they were announced
+  std::uint64_t cache_tokens = 0;                ///< memory of one engine, in tokens
+  std::optional<KvStoreView> store;              ///< the KV cache store, if there is one
+  const TransferLinks* links = nullptr;          ///< null: assumed to be idle
   /// The reports of the gateways that track the candidates; null if everything is known here.
   const LoadAnswer* answers = nullptr;
   double engine_ms_per_token = 0;    ///< over an engine's link; 0: use PlacementCosts
--- a/libs/gateway/include/gateway/request_log.h
+++ b/libs/gateway/include/gateway/request_log.h
@@ -40,7 +40,7 @@
 struct NoticeRecord {
   std::optional<RequestRate> limit;
   bool leaving = false;
-  Duration rest_left{0};
+  Duration cool_down_left{0};
   Duration age{0};  ///< age of its last notice to this gateway
 };
 
@@ -60,7 +60,7 @@
   PollRecord poll;
   double expected_ms = 0;
   double first_event_ms = 0;  ///< expected time until the prompt is prefilled
-  double tokens_to_read = 0;
+  double tokens_to_prefill = 0;
   std::uint32_t shared_tokens = 0;       ///< shared tokens of the prompt
   std::uint32_t known_tokens = 0;        ///< of these, tokens expected in the engine's cache
   std::uint64_t shared_parts = 0;        ///< hash of the shared parts; 0: none
@@ -69,8 +69,7 @@
   std::optional<OlderWeightsUse> older_weights;
   std::optional<NoticeRecord> backend_notice;  ///< none if no notice is known here
   Permit permit;  ///< of the last attempt, if its backend server has a rate limit
-  std::uint32_t permits_refused =
-      0;  ///< refusals by the instances that keep count, for any backend server
+  std::uint32_t permits_refused = 0;  ///< by the instances that keep count
   std::optional<QuotaOutcome> quota;  ///< none if the workspace has no quota
   std::uint64_t quota_tokens = 0;     ///< tokens that the request takes of it
   Duration quota_latency{0};          ///< time until the verdict was known
--- a/libs/gateway/include/gateway/shortlist.h
+++ b/libs/gateway/include/gateway/shortlist.h
@@ -20,7 +20,7 @@
   const PromptChain* chain = nullptr;  ///< null for calls to plain services
   ModelId model;
   std::optional<WeightsNumber> newest_weights;
-  RingSegment segment;  ///< ring segment of the engines responsible for the prompt's first part
+  RingSegment segment;            ///< engines responsible for the prompt's first part
   std::uint64_t random_seed = 0;  ///< differs for each request
   TimePoint now{};
 };
@@ -35,7 +35,7 @@
   /// subsetting); few enough that connections are reused before servers close them.
   std::size_t subset_size = 6;
   std::size_t subset_sample = 3;  ///< of these, polled for each request
-  std::size_t extension = 4;  ///< random candidates of any zone, if all of the first ones are busy
+  std::size_t extension = 4;      ///< of any zone, if all of the first ones are busy
 };
 
 /// The first `count` candidates in the order of rendezvous hashing for the prompt. Weights are
--- a/libs/gateway/src/backend_load.cc
+++ b/libs/gateway/src/backend_load.cc
@@ -8,7 +8,7 @@
                                   const BackendChoice& choice) {
   PlacementUpdate placed;
   placed.backend = HashOf(*choice.backend);
-  placed.new_tokens = choice.tokens_to_store + request.generation->max_output_tokens;
+  placed.new_tokens = choice.tokens_to_cache + request.generation->max_output_tokens;
   placed.own_tokens = plan.chain->own_tokens() + request.generation->max_output_tokens;
   placed.parts = plan.chain->parts;
   placed.weights = choice.weights.value_or(WeightsNumber(0));
@@ -27,7 +27,7 @@
       backend_(choice.backend),
       queued_tokens_(choice.queued_tokens),
       fetches_(choice.fetch_from.has_value()),
-      unprefilled_tokens_(choice.tokens_to_read),
+      unprefilled_tokens_(choice.tokens_to_prefill),
       unrepeatable_(last_run || !plan.route->MayRepeat()) {
   ++backend_->in_flight;
   backend_->unprefilled_tokens += unprefilled_tokens_;
--- a/libs/gateway/src/exchange_plan.cc
+++ b/libs/gateway/src/exchange_plan.cc
@@ -271,7 +271,7 @@
     }
     query.model = request.generation->model;
     query.newest_weights = state.named_weights().Newest(query.model);
-    query.newest_since = state.named_weights().NewestAnnouncedAt(query.model);
+    query.newest_announced_at = state.named_weights().NewestAnnouncedAt(query.model);
   }
   const Placement placement = ChooseBackend(query, candidates, state.weights());
   BackendChoice choice;
@@ -282,9 +282,9 @@
   if (request.generation) {
     choice.queued_tokens = placement.queued_tokens;
     choice.known_tokens = placement.known_tokens;
-    choice.tokens_to_read =
+    choice.tokens_to_prefill =
         plan.chain->prompt_tokens - std::min(placement.cached_tokens, plan.chain->prompt_tokens);
-    choice.tokens_to_store =
+    choice.tokens_to_cache =
         plan.chain->prompt_tokens - std::min(placement.known_tokens, plan.chain->prompt_tokens);
     choice.weights = WeightsOf(*choice.backend, request.generation->model);
     ChooseCacheSource(plan, candidates, placement, choice);
--- a/libs/gateway/src/gateway_state.cc
+++ b/libs/gateway/src/gateway_state.cc
@@ -14,7 +14,7 @@
 
 double GatewayState::TokensPerMs(const ServiceId& service) const {
   const auto found = reading_speeds_.find(service);
-  const bool observed = placement_weights_.observe_speed && found != reading_speeds_.end();
+  const bool observed = placement_weights_.estimate_prefill_rate && found != reading_speeds_.end();
   return observed ? found->second.tokens_per_ms() : placement_weights_.prefill_tokens_per_ms;
 }
 
--- a/libs/gateway/src/placement.cc
+++ b/libs/gateway/src/placement.cc
@@ -55,7 +55,7 @@
   struct CacheEstimate {
     std::uint32_t known_tokens = 0;      ///< tokens of the chain, added by earlier requests
     std::uint32_t fetchable_tokens = 0;  ///< of these, tokens whose prefill is done
-    bool doubtful = false;               ///< some parts may have been evicted
+    bool may_be_evicted = false;         ///< some parts may have been evicted
     bool in_segment = false;             ///< responsible for the prompt's first part
     std::uint64_t rank = 0;              ///< rank in rendezvous hashing
   };
@@ -71,7 +71,7 @@
     Placement placement;
     placement.index = index;
     placement.cost = backend.error_rate * costs_.error_penalty;
-    if (backend.entry.zone != query_.own_zone) placement.cost += costs_.other_zone;
+    if (backend.entry.zone != query_.own_zone) placement.cost += costs_.cross_zone;
     if (IsAvoided(backend, query_.now) || !backend.reachable) placement.cost += kAvoidPenalty;
     if (backend.grace_until) placement.cost += kAvoidPenalty / 2;
     if (backend.hold_until > query_.now) placement.cost += costs_.hold_penalty;
@@ -105,7 +105,7 @@
     placement.known_tokens = cache_estimates_[index].known_tokens;
     placement.cached_tokens = placement.known_tokens;
     if (shared < kMinFetchTokens) return;
-    placement.may_lack_parts = cache_estimates_[index].doubtful;
+    placement.may_lack_parts = cache_estimates_[index].may_be_evicted;
     if (placement.cached_tokens >= shared) return;
     placement.lacks_parts = true;
     placement.source = BestSource(index);
@@ -185,7 +185,7 @@
     for (std::size_t i = 0; i < candidates_.size(); ++i) {
       const Backend& backend = *candidates_[i];
       const bool usable = !IsAvoided(backend, query_.now) && backend.reachable &&
-                          !backend.grace_until && !cache_estimates_[i].doubtful &&
+                          !backend.grace_until && !cache_estimates_[i].may_be_evicted &&
                           cache_estimates_[i].fetchable_tokens > 0;
       if (usable) engine_sources_.push_back({i, EngineLinkWait(backend)});
     }
@@ -261,7 +261,8 @@
   double OlderWeightsCost(const Backend& backend) const {
     if (IsNewest(backend)) return 0;
     const bool recently_ordered =
-        query_.newest_since && query_.now - *query_.newest_since < costs_.older_weights_free;
+        query_.newest_announced_at &&
+        query_.now - *query_.newest_announced_at < costs_.older_weights_grace;
     return recently_ordered ? 0 : costs_.older_weights;
   }
 
@@ -326,7 +327,7 @@
     estimate.fetchable_tokens = match.prefilled;
     const double safe_tokens =
         (1 - costs_.eviction_risk_fraction) * static_cast<double>(query_.cache_tokens);
-    estimate.doubtful = static_cast<double>(match.used_since) >= safe_tokens;
+    estimate.may_be_evicted = static_cast<double>(match.used_since) >= safe_tokens;
   }
 
   EngineCache::PrefixMatch MatchOn(const Backend& backend) const {
--- a/libs/gateway/src/request_log.cc
+++ b/libs/gateway/src/request_log.cc
@@ -110,8 +110,8 @@
   const NoticeRecord& notice = *record.backend_notice;
   if (notice.limit) fields.push_back({"limit", fmt::format("{:.3f}", notice.limit->per_second())});
   if (notice.leaving) fields.push_back({"leaving", "yes"});
-  if (notice.rest_left > Duration::zero()) {
-    fields.push_back({"rest_left_ms", MillisecondsText(notice.rest_left)});
+  if (notice.cool_down_left > Duration::zero()) {
+    fields.push_back({"rest_left_ms", MillisecondsText(notice.cool_down_left)});
   }
   fields.push_back({"notice_age_ms", MillisecondsText(notice.age)});
 }
@@ -120,10 +120,12 @@
 
 std::optional<NoticeRecord> NoticeRecordOf(const Backend& backend, TimePoint now) {
   const BackendWord& received = backend.notice_state;
-  const auto rest = std::chrono::duration_cast<Duration>(received.rest_until() - now);
-  const NoticeRecord notice{received.limit(), received.leaving(), std::max(Duration::zero(), rest),
+  const auto cool_down = std::chrono::duration_cast<Duration>(received.rest_until() - now);
+  const NoticeRecord notice{received.limit(), received.leaving(),
+                            std::max(Duration::zero(), cool_down),
                             std::chrono::duration_cast<Duration>(now - received.heard_at())};
-  const bool nothing = !notice.limit && !notice.leaving && notice.rest_left == Duration::zero();
+  const bool nothing =
+      !notice.limit && !notice.leaving && notice.cool_down_left == Duration::zero();
   return nothing ? std::nullopt : std::optional(notice);
 }
 
@@ -150,7 +152,7 @@
                       {"fingerprint", ToText(record.fingerprint)},
                       {"expected_ms", std::to_string(std::lround(record.expected_ms))},
                       {"wait_ms", std::to_string(std::lround(record.first_event_ms))},
-                      {"to_read", std::to_string(std::lround(record.tokens_to_read))},
+                      {"to_read", std::to_string(std::lround(record.tokens_to_prefill))},
                       {"running_there", std::to_string(record.running_at_backend)},
                       {"config", ConfigVersionOf(state)},
                       {"config_age_ms", MillisecondsText(now - state.confirmed_at())}};
--- a/libs/gateway/test/exchange_plan-test.cc
+++ b/libs/gateway/test/exchange_plan-test.cc
@@ -136,8 +136,8 @@
   saved.saved_to = LinkOf("s:1");
   state.TakePlaced(saved, Clock::now() - 1s);
   const BackendChoice choice = Choose();
-  BOOST_TEST(choice.tokens_to_read == kOwn);
-  BOOST_TEST(choice.tokens_to_store == kShared + kOwn);
+  BOOST_TEST(choice.tokens_to_prefill == kOwn);
+  BOOST_TEST(choice.tokens_to_cache == kShared + kOwn);
   { BackendLoad load(state, Plan(), request, choice); }
   BOOST_TEST(choice.backend->cache.tokens() == kShared + kOwn + 10);
 }
--- a/libs/gateway/test/placement-test.cc
+++ b/libs/gateway/test/placement-test.cc
@@ -173,7 +173,7 @@
 BOOST_AUTO_TEST_CASE(newest_weights_are_preferred_after_the_free_period) {
   query.newest_weights = WeightsNumber(2);
   backends[2]->weights[kModel] = WeightsNumber(2);
-  query.newest_since = kNow - 3s;
+  query.newest_announced_at = kNow - 3s;
   costs.older_weights = 500;
   BOOST_TEST(ChooseBackend(query, backends, costs).index == 2);
 }
--- a/model/fleet_model.cc
+++ b/model/fleet_model.cc
@@ -204,7 +204,7 @@
   const auto choice = Choose(open);
   if (!choice) return false;
   open.backend = choice->backend;
-  open.tokens_to_read = choice->tokens_to_read;
+  open.tokens_to_prefill = choice->tokens_to_prefill;
   open.queued_tokens = choice->queued_tokens;
   open.sent = now_;
   ModelRequest request;
@@ -219,7 +219,7 @@
     links_.Reserve(link, choice->fetch_duration, now_);
   }
   ++open.backend->in_flight;
-  open.backend->unprefilled_tokens += open.tokens_to_read;
+  open.backend->unprefilled_tokens += open.tokens_to_prefill;
   state_.TakePlaced(PlacementUpdateOf(open.plan, open.request, *choice), now_);
   engines_.at(open.backend->entry.id).Send(std::move(request), now_);
   return true;
@@ -236,8 +236,8 @@
       outcome.shared_read += begun.shared_read;
       if (begun.at - open.request.received <= demand.objective) ++outcome.in_time;
       --open.backend->in_flight;
-      open.backend->unprefilled_tokens -= open.tokens_to_read;
-      state_.reading_speed(kEngines).Record(open.queued_tokens + open.tokens_to_read,
+      open.backend->unprefilled_tokens -= open.tokens_to_prefill;
+      state_.reading_speed(kEngines).Record(open.queued_tokens + open.tokens_to_prefill,
                                             waited + PrefillRateEstimator::kFixedOverhead);
       open_.erase(begun.number);
     }
--- a/model/fleet_model.h
+++ b/model/fleet_model.h
@@ -81,7 +81,7 @@
     std::size_t demand = 0;
     bool late = false;
     BackendPtr backend;  ///< once it was sent
-    double tokens_to_read = 0;
+    double tokens_to_prefill = 0;
     double queued_tokens = 0;
     TimePoint sent{};
   };
--- a/model/test/load_patterns-test.cc
+++ b/model/test/load_patterns-test.cc
@@ -79,7 +79,7 @@
 
 BOOST_AUTO_TEST_CASE(slow_engines_are_noticed) {
   PlacementCosts fixed;
-  fixed.observe_speed = false;
+  fixed.estimate_prefill_rate = false;
   const double observed = InTime(Play(SlowEngines(), true));
   const double settings = InTime(Play(SlowEngines(), true, fixed));
   BOOST_TEST_INFO("in time " << observed << " and " << settings);
--- a/programs/ridgehold-model.cc
+++ b/programs/ridgehold-model.cc
@@ -111,7 +111,7 @@
   app.add_option("--seeds", options.seeds, "So many seeds from there on")
       ->check(CLI::Range(1, 1'000));
   app.add_option("--admission.enabled", options.admission.enabled, "Requests wait for room");
-  app.add_option("--placement.observe-speed", options.placement.observe_speed,
+  app.add_option("--placement.observe-speed", options.placement.estimate_prefill_rate,
                  "Speed from first events");
   app.add_option("--placement.engines-as-sources", options.placement.engines_as_sources,
                  "Fetch from engines, too");
