--- a/libs/gateway/include/gateway/admission.h
+++ b/libs/gateway/include/gateway/admission.h
@@ -1,4 +1,4 @@
-// Whether a generation request is sent to its engine now, or waits at the gateway for room there.
+// Admission control for generation requests: forward to the engine now, or queue at the gateway.
 
 #pragma once
 
@@ -8,47 +8,47 @@
 
 namespace ridgehold {
 
-/// Figures of the rule below. Parts are of the room that an engine has: the
-/// shortest latency objective of the routes to its service.
+/// Parameters of Admission. Fractions are relative to an engine's capacity: the shortest latency
+/// objective of the routes to its service.
 struct AdmissionRule {
-  /// Off: every request is sent to its engine at once.
+  /// If false, every request is forwarded to its engine immediately.
   bool enabled = true;
-  /// Reading that an engine may have before it, the request's own included. The
-  /// rest is for round trips and for what two gateways send at the same moment.
+  /// Maximum prefill work outstanding at an engine, including the request's own. The remainder
+  /// covers round trips and requests that two gateways send concurrently.
   double full_part = 0.9;
-  /// Late and very long requests are sent to an engine with less than so much
-  /// before them: one more prompt then still ends within the objective.
+  /// Requests that are late or very long are forwarded to an engine whose outstanding prefill work
+  /// is at most this fraction: one more prompt then still completes within the objective.
   double late_part = 0.25;
-  /// A request waits at most so many of its objectives from its arrival on;
-  /// callers of streams commonly leave after four.
+  /// Maximum time from arrival to admission, in multiples of the request's latency objective.
+  /// Clients of streams commonly disconnect after four objectives.
   double longest_wait = 3;
 };
 
-/// What the rule looks at; times are expected ones.
+/// Input of an admission decision; times are estimates.
 struct AdmissionQuery {
-  Duration ahead{0};      ///< until the engine has read what was sent before
-  Duration own{0};        ///< to fetch and read the request's own prompt
+  Duration ahead{0};      ///< until the engine has prefilled earlier requests
+  Duration own{0};        ///< to fetch and prefill the request's own prompt
   Duration room{0};       ///< the shortest latency objective of the service's routes
   Duration objective{0};  ///< of the request's route
   Duration age{0};        ///< since the request arrived
 };
 
-/// A request that an engine takes in can't be put back behind others. So an
-/// engine gets no more than it reads within the shortest objective; what would
-/// be late in any case waits until nobody is delayed by it. Without this, every
-/// request was late once the engines had more to read than one objective's worth:
-/// with four of nine engines left, a quarter of the requests was in time for
-/// four seconds where the engines had time for more than half. Pure.
+/// An engine cannot reorder a request that it has accepted. It is therefore given no more work than
+/// it can prefill within the shortest objective; requests that will miss their objective anyway are
+/// queued until they delay no other request. Without this limit, every request is late as soon as
+/// the outstanding prefill work exceeds one objective: with four of nine engines left, a quarter of
+/// the requests met their objective for four seconds, although the engines had capacity for more
+/// than half. Stateless.
 class Admission {
  public:
   explicit Admission(AdmissionRule rule) : rule_(rule) {}
 
   bool MaySend(const AdmissionQuery& query) const;
 
-  /// Whether the request is sent however much is before it.
+  /// Whether the request has waited for the maximum time and is sent regardless of load.
   bool WaitedEnough(const AdmissionQuery& query) const;
 
-  /// Whether the request can still be in time if it is sent now.
+  /// Whether the request can still meet its objective if it is sent now.
   static bool InTime(const AdmissionQuery& query);
 
  private:
--- a/libs/gateway/include/gateway/attempt_messages.h
+++ b/libs/gateway/include/gateway/attempt_messages.h
@@ -1,4 +1,4 @@
-// What one attempt tells a backend server, and what its answer's head tells back.
+// Metadata sent to a backend server with an attempt, and metadata read from its response head.
 
 #pragma once
 
@@ -13,13 +13,13 @@
 
 namespace ridgehold {
 
-/// What the gateway adds to a caller's request. Empty fields are not sent, and
-/// nothing that the caller sent in their place is.
+/// Headers that the gateway adds to a client's request. Empty fields are omitted, and the client's
+/// own headers of the same names are removed.
 struct AttemptDirectives {
-  BackendId expected_backend;  ///< another incarnation on the address must refuse
+  BackendId expected_backend;  ///< another incarnation on the address must reject the request
   std::optional<WorkspaceId> workspace;
   std::chrono::milliseconds time_left{0};
-  std::optional<int> queue_priority;  ///< 0 is first
+  std::optional<int> queue_priority;  ///< 0 is the most urgent
   std::optional<std::string> cache_salt;
   std::optional<WeightsNumber> expected_weights;
   std::optional<std::string> fetch_cache_from;  ///< address of another engine or store
@@ -27,14 +27,14 @@
   std::optional<std::uint64_t> resume_after;
 };
 
-/// What an answer's status line and header fields say.
+/// Status and metadata of a response head.
 struct AnswerHead {
   int status = 0;
-  bool not_executed = false;        ///< the backend server states that it did not run the request
-  bool has_signature = false;       ///< proof that the backend server made the answer
-  bool has_content_coding = false;  ///< the body is not as the backend server made it
+  bool not_executed = false;   ///< the backend server states that it did not execute the request
+  bool has_signature = false;  ///< proves that the backend server produced the response
+  bool has_content_coding = false;  ///< the body was re-encoded on the way
   bool event_stream = false;
-  RequestId request;  ///< empty: not named
+  RequestId request;  ///< empty if the response does not identify one
   std::optional<WeightsNumber> weights;
   BackendNotice notice;
 };
--- a/libs/gateway/include/gateway/attempt_policy.h
+++ b/libs/gateway/include/gateway/attempt_policy.h
@@ -1,4 +1,5 @@
-// What follows an attempt: deliver its answer, try again, or give up truthfully.
+// Retry policy: deliver the response of an attempt, retry it, or fail with an accurate execution
+// status.
 
 #pragma once
 
@@ -11,51 +12,52 @@
 
 /// How an attempt ended.
 enum class AttemptEnd : std::uint8_t {
-  kStreamed,    ///< every event was passed on
-  kAnswered,    ///< a whole answer is at hand
-  kNotSent,     ///< nothing of the request was sent
-  kBroken,      ///< it broke off, or what came cannot be the answer
-  kTimedOut,    ///< no answer in time
-  kCallerGone,  ///< ended because the caller left
-  kSkipped,     ///< not sent: the backend server may no longer be used
-  kWithdrawn,   ///< ended since no event came before its weights got too old
+  kStreamed,    ///< the complete stream was forwarded
+  kAnswered,    ///< a complete response was received
+  kNotSent,     ///< no byte of the request was sent
+  kBroken,      ///< the connection broke, or the response is invalid
+  kTimedOut,    ///< no response before the deadline
+  kCallerGone,  ///< cancelled because the client disconnected
+  kSkipped,     ///< not sent: the backend server became ineligible
+  kWithdrawn,   ///< cancelled by the gateway before the first event
 };
 
-/// All that the next step depends on.
+/// Input of a retry decision.
 struct AttemptFacts {
   AttemptEnd end = AttemptEnd::kBroken;
-  int status = 0;             ///< of kAnswered
-  bool not_executed = false;  ///< the backend server states that it did not run the request
+  int status = 0;             ///< only for kAnswered
+  bool not_executed = false;  ///< the backend server states that it did not execute the request
   bool has_signature = false;
-  bool may_repeat = false;     ///< the request may run more than once
-  bool stream_begun = false;   ///< the caller has some events already
-  bool may_have_run = false;   ///< this or an earlier attempt
-  std::uint32_t runs = 0;      ///< attempts that may have run, this one included
+  bool may_repeat = false;     ///< the request may be executed more than once
+  bool stream_begun = false;   ///< the client has already received events
+  bool may_have_run = false;   ///< in this or an earlier attempt
+  std::uint32_t runs = 0;      ///< attempts that may have executed, including this one
   std::uint32_t max_runs = 1;  ///< the route's limit
-  std::uint32_t sends = 0;     ///< attempts of any outcome
-  bool time_left = true;       ///< enough for another attempt
+  std::uint32_t sends = 0;     ///< attempts with any outcome
+  bool time_left = true;       ///< enough time remains for another attempt
 };
 
-/// What to do.
+/// Action after an attempt.
 enum class NextStep : std::uint8_t {
-  kDone,      ///< nothing is owed any more
-  kDeliver,   ///< pass the backend server's answer on
-  kTryAgain,  ///< on another backend server, if the retry budget allows
-  kRefuse,    ///< say that it has not run
-  kFail,      ///< say that it may have run
-  kBreakOff,  ///< end the streamed answer so that it cannot look whole
+  kDone,      ///< no further action
+  kDeliver,   ///< forward the backend server's response
+  kTryAgain,  ///< retry on another backend server if the retry budget allows
+  kRefuse,    ///< report that the request was not executed
+  kFail,      ///< report that the request may have been executed
+  kBreakOff,  ///< abort the stream so that the client sees it as truncated
 };
 
-/// Sends beyond the runs that a route allows: refusals do not run.
+/// Additional sends beyond a route's execution limit: a rejected request was not executed.
 inline constexpr std::uint32_t kMostRefusedSends = 3;
 
-/// Returns whether the attempt proves that the request did not run there.
+/// Returns whether the attempt proves that the request was not executed.
 bool ProvesNotRun(const AttemptFacts& facts);
 
-/// Decides; `kTryAgain` becomes what `StepWithoutRetry` says when the budget is spent.
+/// Chooses the next step. If this is `kTryAgain` and the retry budget is exhausted, use
+/// `StepWithoutRetry` instead.
 NextStep DecideNext(const AttemptFacts& facts);
 
-/// What remains when no further attempt is made.
+/// Chooses the next step when no further attempt is made.
 NextStep StepWithoutRetry(const AttemptFacts& facts);
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/backend_news.h
+++ b/libs/gateway/include/gateway/backend_news.h
@@ -1,4 +1,4 @@
-// What gateways tell each other of a backend server's own words.
+// Pushback of backend servers as gateways exchange it.
 
 #pragma once
 
@@ -12,20 +12,20 @@
 
 namespace ridgehold {
 
-/// One backend server's last words to all gateways. Whoever hears something new gives it
-/// the number after the one known, so that the latest is told from late news.
+/// Latest pushback of one backend server. A gateway that learns of a change increments `number`, so
+/// that receivers can discard stale updates.
 struct BackendNews {
   BackendHash backend = 0;
   std::uint64_t number = 0;
-  std::optional<RequestRate> limit;  ///< none: it names none any more
+  std::optional<RequestRate> limit;  ///< empty: no limit applies
   bool leaving = false;
-  /// Of the rest that it has asked the teller for; none: it has asked for none.
+  /// Remaining back-off that the server requested from the sender of this update; empty: none.
   std::optional<std::chrono::milliseconds> rest_left{};
 
   bool operator==(const BackendNews&) const = default;
 };
 
-/// Words of several backend servers.
+/// Updates about several backend servers.
 struct BackendNewsList {
   std::vector<BackendNews> items;
 
--- a/libs/gateway/include/gateway/backend_notice.h
+++ b/libs/gateway/include/gateway/backend_notice.h
@@ -1,4 +1,4 @@
-// What a backend server says of itself in the head of an answer.
+// Pushback that a backend server signals in a response head.
 
 #pragma once
 
@@ -9,14 +9,14 @@
 
 namespace ridgehold {
 
-/// One answer's words. A backend server in need repeats them in each answer, for as
-/// long as they hold.
+/// Pushback in one response. A backend server repeats it in each response for as long as it
+/// applies.
 struct BackendNotice {
-  /// What it takes of all instances together; none: it names no limit.
+  /// Request rate that it accepts from all instances together; empty: no limit.
   std::optional<RequestRate> limit;
-  bool limit_unreadable = false;  ///< it names one, and nobody knows which
-  bool leaving = false;           ///< it ends soon, and is to get nothing new
-  /// It refused, and wants nothing from this instance for so long.
+  bool limit_unreadable = false;  ///< a limit is present but cannot be parsed
+  bool leaving = false;           ///< it shuts down soon and must get no new requests
+  /// It rejected the request and asks this instance to back off for this long.
   std::optional<std::chrono::milliseconds> rest;
 
   bool operator==(const BackendNotice&) const = default;
--- a/libs/gateway/include/gateway/backend_permit.h
+++ b/libs/gateway/include/gateway/backend_permit.h
@@ -1,4 +1,4 @@
-// Leave to send one request to a backend server that names a limit.
+// Permits for requests to backend servers that signal a rate limit.
 
 #pragma once
 
@@ -14,18 +14,18 @@
 
 class GatewayState;
 
-/// How asking for a permit has ended.
+/// Outcome of acquiring a permit.
 enum class PermitVerdict : std::uint8_t {
-  kNotNeeded,  ///< the backend server names no limit
+  kNotNeeded,  ///< the backend server has no limit
   kGranted,
-  kUncounted,     ///< nobody counts, and this gateway may send one all the same
-  kRefused,       ///< the limit is used up
-  kNobodyCounts,  ///< and this gateway may not send one
+  kUncounted,     ///< no quota holder answered; sent in a fallback slot
+  kRefused,       ///< the limit is exhausted
+  kNobodyCounts,  ///< no quota holder answered, and no fallback slot is free
 };
 
 struct Permit {
   PermitVerdict verdict = PermitVerdict::kNotNeeded;
-  std::optional<QuotaTicket> ticket;  ///< to give it back; only of kGranted
+  std::optional<QuotaTicket> ticket;  ///< for a refund; only set for kGranted
   Duration took{0};
 
   bool MaySend() const {
@@ -33,18 +33,18 @@
   }
 };
 
-/// Whose request it is.
+/// Identity of the gateway that requests the permit.
 struct PermitAsker {
-  std::uint64_t gateway = 0;   ///< differs by gateway
-  std::uint32_t gateways = 1;  ///< that are alive
+  std::uint64_t gateway = 0;   ///< unique for each gateway
+  std::uint32_t gateways = 1;  ///< number of live gateways
 };
 
-/// What the outcome of asking means for one request. Without a permit the backend server
-/// is barred here until there may be one.
+/// Converts a quota outcome into a verdict for one request. Without a permit, the backend server is
+/// blocked at this gateway until a permit may be available.
 PermitVerdict JudgePermit(Backend& backend, const QuotaOutcome& outcome, const PermitAsker& asker,
                           TimePoint now);
 
-/// Asks whoever counts the backend server's requests, if it names a limit.
+/// Acquires a permit from the quota holder of the backend server, if it has a limit.
 net::awaitable<Permit> AcquirePermit(GatewayState& state, BackendPtr backend);
 
 std::string_view NameOf(PermitVerdict verdict);
--- a/libs/gateway/include/gateway/backend_prober.h
+++ b/libs/gateway/include/gateway/backend_prober.h
@@ -1,4 +1,4 @@
-// Finds out which backend servers cannot be reached, without spending callers' requests on it.
+// Active health checks of backend servers by TCP connect.
 
 #pragma once
 
@@ -11,35 +11,35 @@
 
 namespace ridgehold {
 
-/// A backend server behind a cut answers nothing, so every request that was sent
-/// to see whether it is back was lost or late: some forty in five seconds, with
-/// two of nine engines cut off from seven gateways. The prober opens a connection
-/// instead, after a failure and when a request has waited for longer than it
-/// should; only one that answers is given requests again. Runs on one executor,
-/// as long as that does.
+/// A backend server behind a network partition does not respond, so a request that is sent to
+/// detect its recovery is lost or late: about forty requests in five seconds with two of nine
+/// engines partitioned from seven gateways. The prober opens a connection instead, after a failure
+/// and when a request has waited for too long; a server gets requests again only after a successful
+/// probe. Runs on one executor and lives as long as it.
 class BackendProber {
  public:
   struct Options {
-    /// Off: only requests tell who can be reached.
+    /// If false, reachability is detected by requests only.
     bool enabled = true;
-    /// Between looks for what is to be probed.
+    /// Interval between scans for backend servers that are due for a probe.
     std::chrono::milliseconds look{50};
-    /// A connection between zones opens in 2 to 10 ms; a lost packet of it is
-    /// sent again after 1 s.
+    /// Connect time-out. A connection between zones opens in 2 to 10 ms; a lost SYN is
+    /// retransmitted after 1 s.
     std::chrono::milliseconds connect_limit{250};
-    /// From one probe of a backend server to the next.
+    /// Minimum interval between probes of one backend server.
     std::chrono::milliseconds pause{250};
-    /// Requests that wait so many of the shortest objectives for their first
-    /// event are suspicious: engines are given less than one to read.
+    /// A backend server is probed if a request has waited for its first event for this many of the
+    /// service's shortest objectives: engines are given less than one objective of prefill work.
     double suspicious_objectives = 1.25;
-    /// A request that broke off waits so long for the probe before it is sent on: a
-    /// process that has ended refuses within a round trip, 6 ms between zones.
+    /// Maximum time an interrupted request waits for the probe before it is retried: the host of a
+    /// terminated process refuses connections within one round trip, 6 ms between zones.
     std::chrono::milliseconds confirm_limit{20};
-    /// After an end it waits so long for word of others: copies that ran at the same
-    /// moment have ended other servers, which is told within a millisecond and a way
-    /// of 3 ms. Without it three copies at once ended six servers, with it three.
+    /// Delay before a retry after a crash, to receive crash reports from peers: concurrent copies
+    /// of the request may have crashed other servers, which is reported within 1 ms plus a one-way
+    /// latency of 3 ms. Three concurrent copies crashed six servers without this delay and three
+    /// with it.
     std::chrono::milliseconds word_of_others{10};
-    /// Probes that run at once; the others wait for the next look.
+    /// Maximum number of concurrent probes; further ones wait for the next scan.
     std::size_t most_at_once = 16;
   };
 
@@ -48,10 +48,10 @@
 
   net::awaitable<void> Run();
 
-  /// An attempt has broken off there: probes at once, unless that was done lately, and
-  /// waits for the outcome. A refused connection tells that the process has ended,
-  /// 20 to 85 ms sooner than the next look; the copies that arrive meanwhile, and the
-  /// attempt itself, would be sent on without that knowledge.
+  /// Probes a backend server immediately after an interrupted attempt, unless it was probed
+  /// recently, and waits for the result. A refused connection shows that the process has
+  /// terminated, 20 to 85 ms earlier than the next scan; until then, the attempt and further copies
+  /// of the request would be retried without this information.
   net::awaitable<void> Confirm(BackendPtr backend);
 
  private:
@@ -60,7 +60,8 @@
   bool IsDue(const Backend& backend, TimePoint now) const;
   bool IsSuspicious(const Backend& backend, TimePoint now) const;
   net::awaitable<void> Probe(BackendPtr backend);
-  /// Whether nothing that was open to it is left: a full server refuses, too.
+  /// Whether no connection to it is open. A server with a full accept queue also refuses
+  /// connections.
   bool NothingOpen(const Backend& backend);
 
   GatewayState& state_;
--- a/libs/gateway/include/gateway/backend_word.h
+++ b/libs/gateway/include/gateway/backend_word.h
@@ -1,4 +1,4 @@
-// What a backend server has asked of the gateways, and what may be sent there meanwhile.
+// Pushback that a backend server has signalled, and the resulting send restrictions.
 
 #pragma once
 
@@ -12,52 +12,55 @@
 
 namespace ridgehold {
 
-/// Of one incarnation of a backend server, as one gateway knows it. A limit binds all
-/// gateways together and a leaving each of them, so those are told to others; a rest binds
-/// the one that it was asked of, and others prefer to heed it. None of it lapses by itself but a
-/// rest: where a limit is known each request needs a permit, and its answer tells whether the limit
-/// holds on.
+/// Pushback of one incarnation of a backend server, as known at one gateway. A rate limit applies
+/// to all gateways together and a shutdown announcement to each of them, so both are shared with
+/// peers. A back-off applies to the gateway it was requested from; peers only prefer other servers.
+/// Only a back-off expires by itself: while a limit is known, each request needs a permit, and its
+/// response shows whether the limit still applies.
 ///
 /// Not thread-safe; time comes in as a value.
 class BackendWord {
  public:
-  /// Takes the notice of an answer to a request that was sent at `sent`. Returns whether
-  /// the other gateways should hear of it.
+  /// Applies the pushback in the response to a request sent at `sent`. Returns whether it must be
+  /// shared with the other gateways.
   bool TakeNotice(const BackendNotice& notice, TimePoint sent, TimePoint now);
 
-  /// Takes what another gateway tells. Returns whether that one knows less than this.
+  /// Applies an update from another gateway. Returns whether the sender's state is older than this
+  /// one.
   bool TakeNews(const BackendNews& news, TimePoint now);
   BackendNews News(BackendHash backend) const;
 
-  /// It has asked another gateway for rest until then. Returns whether it is doubted anew.
+  /// Records that another gateway was asked to back off until `until`. Returns whether this
+  /// deprioritizes the server and it was not deprioritized before.
   bool NoteRestOfOther(std::uint64_t gateway, TimePoint until, TimePoint now);
-  /// It is chosen last before: it has asked several others for rest, and this gateway has
-  /// seen no other answer since.
+  /// Until then the server is chosen last: it has asked two or more peers to back off, and this
+  /// gateway has received no response without a back-off since.
   TimePoint doubted_until() const { return others_.TwoUntil(); }
-  /// Whether others should hear of the rest asked of this gateway.
+  /// Whether peers should be informed of the back-off requested from this gateway.
   bool TellsRest(TimePoint now) const { return now < rest_until_ && now >= doubted_until(); }
 
-  /// Whether the others are to be told from now on. Not while they are being told, which
-  /// repeats the word as it is then: some servers change their limit with each answer.
+  /// Returns whether a broadcast to peers begins now. Returns false while one is in progress: it
+  /// repeats the state current at that time, and some servers change their limit in each response.
   bool BeginTelling(TimePoint now);
 
   const std::optional<RequestRate>& limit() const { return limit_; }
-  /// When it named its limit first, as far as is known here; only while there is one.
+  /// When the current limit period began, as known here; only meaningful while there is a limit.
   TimePoint limited_since() const { return limited_since_; }
   std::uint64_t number() const { return number_; }
   bool leaving() const { return leaving_; }
-  /// When the last notice came to this gateway.
+  /// When this gateway last received a response.
   TimePoint heard_at() const { return heard_at_; }
   TimePoint rest_until() const { return rest_until_; }
 
-  /// Nothing is to be sent there before; long past if anything may.
+  /// No request is sent before this time; in the past if requests are allowed.
   TimePoint barred_until() const;
   bool Bars(TimePoint now) const { return leaving_ || now < barred_until(); }
 
-  /// There is no permit before `until`.
+  /// Blocks the server until `until` because no permit is available before.
   void NoteNoPermit(TimePoint until);
 
-  /// Whether a request may be sent although nobody counts, see UncountedTurns.
+  /// Returns whether a request may be sent without a permit when no quota holder can be reached,
+  /// see UncountedTurns.
   bool TakeUncounted(BackendHash backend, std::uint64_t gateway, std::uint32_t gateways,
                      TimePoint now);
 
@@ -66,8 +69,8 @@
 
   std::optional<RequestRate> limit_;
   bool leaving_ = false;
-  std::uint64_t number_ = 0;  ///< of the limit and the leaving
-  TimePoint known_at_{};      ///< since when they are known here
+  std::uint64_t number_ = 0;  ///< of `limit_` and `leaving_`
+  TimePoint known_at_{};      ///< when they were last changed here
   TimePoint limited_since_{};
   TimePoint told_from_{};
   TimePoint heard_at_{};
@@ -75,7 +78,7 @@
   RestsOfOthers others_;
   TimePoint others_heard_at_{};
   TimePoint no_permit_until_{};
-  std::int64_t uncounted_turn_ = -1;  ///< the last one used
+  std::int64_t uncounted_turn_ = -1;  ///< last slot that was used
 };
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/backend_words.h
+++ b/libs/gateway/include/gateway/backend_words.h
@@ -1,5 +1,5 @@
-// The words of all backend servers at one gateway: taken, told to others, kept ready for
-// whoever counts.
+// Pushback of all backend servers at one gateway: applied, shared with peers, and supplied to quota
+// holders.
 
 #pragma once
 
@@ -22,31 +22,32 @@
  public:
   explicit BackendWords(BackendDirectory& directory) : directory_(directory) {}
 
-  /// Takes the notice of an answer to a request that was sent at `sent`.
+  /// Applies the pushback in the response to a request sent at `sent`.
   void Note(Backend& backend, const BackendNotice& notice, TimePoint sent, TimePoint now);
 
-  /// Takes what another gateway tells. Returns the words of which that one knows less.
+  /// Applies updates from another gateway. Returns this gateway's state where the sender's is
+  /// older.
   BackendNewsList Take(const BackendNewsList& news, std::uint64_t gateway, TimePoint now);
 
-  /// Takes out what is to be told.
+  /// Removes and returns the pending updates.
   BackendNewsList TakeNews() { return std::exchange(news_, {}); }
-  /// The same words as they are now; those of backend servers that are gone are left out.
+  /// Returns the updates with current values; unregistered backend servers are omitted.
   BackendNewsList Refreshed(const BackendNewsList& news, TimePoint now) const;
-  /// Called when there is something to tell.
+  /// `listener` is called when updates are pending.
   void SetNewsListener(std::function<void()> listener) { on_news_ = std::move(listener); }
 
-  /// Whether a limit was heard of lately, so that requests have to be counted.
+  /// Whether a limit was seen recently, so that quota holders are needed.
   bool AnyLimit(TimePoint now) const { return now < counted_until_; }
-  /// Called when a limit was heard of.
+  /// `listener` is called when a limit is seen.
   void SetLimitListener(std::function<void()> listener) { on_limit_ = std::move(listener); }
 
   const LimitTolerance& tolerance() const { return tolerance_; }
   void SetTolerance(const LimitTolerance& tolerance) { tolerance_ = tolerance; }
 
   QuotaSubject SubjectFor(const Backend& backend) const;
-  /// What is granted of its limit, which it must have.
+  /// Quota terms of its limit. Requires that it has one.
   QuotaTerms TermsFor(const Backend& backend) const;
-  /// Terms that have changed since the last call.
+  /// Removes and returns the terms that have changed since the last call.
   std::map<QuotaSubject, QuotaTerms> TakeNewTerms() { return std::exchange(new_terms_, {}); }
 
  private:
--- a/libs/gateway/include/gateway/broken_attempts.h
+++ b/libs/gateway/include/gateway/broken_attempts.h
@@ -1,4 +1,4 @@
-// Which requests broke off at which backend server, in case that is found to have ended.
+// Recently interrupted requests for each backend server, to attribute a crash to them.
 
 #pragma once
 
@@ -14,21 +14,22 @@
 
 namespace ridgehold {
 
-/// That a request broke off says little: connections break, and servers fail single
-/// answers. It counts once the backend server is found to have ended, which may be
-/// known before or after. Not thread-safe; time comes in as a value.
+/// An interrupted request alone is no evidence: connections break, and servers fail single
+/// responses. It counts once the backend server is found to have terminated, which may be detected
+/// before or after the interruption. Not thread-safe; the caller supplies the time.
 class BrokenAttempts {
  public:
-  /// Break and end belong together within so long: a registration lapses after three
-  /// heartbeats, 3.6 s, where nothing tells of the end sooner.
+  /// Maximum time between an interruption and the crash that caused it: unless detected earlier, a
+  /// crash is noticed when the registration expires after three heartbeats, 3.6 s.
   static constexpr std::chrono::milliseconds kSameCause{5'000};
-  /// Attempts that are remembered; a backend server runs at most some hundred.
+  /// Maximum number of remembered attempts; a backend server runs a few hundred at most.
   static constexpr std::size_t kMost = 20'000;
 
-  /// Returns whether the backend server is known to have ended just now.
+  /// Records an interrupted request. Returns whether the backend server is known to have crashed
+  /// recently.
   bool Note(BackendHash backend, RequestFingerprint request, TimePoint now);
 
-  /// The backend server has ended; returns what broke off there.
+  /// Records a crash of the backend server and returns the requests interrupted there.
   std::vector<RequestFingerprint> End(BackendHash backend, TimePoint now);
 
   bool HasEnded(BackendHash backend) const { return ended_.contains(backend); }
@@ -43,7 +44,7 @@
 
   void Expire(TimePoint now);
 
-  std::deque<Broken> broken_;  ///< in the order of time
+  std::deque<Broken> broken_;  ///< ordered by time
   std::unordered_map<BackendHash, TimePoint> ended_;
 };
 
--- a/libs/gateway/include/gateway/caller_connection.h
+++ b/libs/gateway/include/gateway/caller_connection.h
@@ -1,5 +1,4 @@
-// One caller's connection: reads requests with limits, writes answers, notices a caller that
-// leaves.
+// Client connection: reads requests within limits, writes responses, and detects disconnects.
 
 #pragma once
 
@@ -17,49 +16,47 @@
 
 namespace ridgehold {
 
-/// A request as it was read, or why it could not be.
+/// Result of reading a request.
 struct ReadOutcome {
   enum class Kind : std::uint8_t {
     kRequest,
-    kClosed,   ///< the caller is gone, or was idle too long; nothing to answer
-    kRefused,  ///< `failure` is to be answered, then the connection closed
+    kClosed,   ///< the client disconnected or was idle for too long; no response is possible
+    kRefused,  ///< respond with `failure`, then close the connection
   };
   Kind kind = Kind::kClosed;
   Failure failure;
 };
 
-/// Transport of one connection; knows nothing of routing. All calls come from
-/// one executor.
+/// Transport of one connection, independent of routing. All calls must come from one executor.
 class CallerConnection : public std::enable_shared_from_this<CallerConnection> {
  public:
   static std::shared_ptr<CallerConnection> Create(tcp::socket socket);
 
-  /// Reads the next request with its whole body into `request()`. `head()` has
-  /// its fields without any trailer.
+  /// Reads the next request with its whole body into `request()`. `head()` has its header fields
+  /// without trailers.
   net::awaitable<ReadOutcome> Read(CallerLimits limits);
 
   const RequestHead& head() const { return head_; }
   RequestMessage& request() { return request_; }
 
-  /// Calls `on_gone` once if the caller closes before StopWatching.
+  /// Calls `on_gone` once if the client disconnects before StopWatching.
   void WatchCaller(std::function<void()> on_gone);
   void StopWatching();
   bool caller_gone() const { return caller_gone_; }
 
-  /// Whether the caller has closed by now. The event that tells so may still wait
-  /// behind others of a busy loop.
+  /// Polls the socket for a disconnect, whose event may still be queued in a busy event loop.
   bool CheckCallerGone();
 
-  /// Each returns false when the caller can no longer be reached.
+  /// Each returns false when the client has disconnected.
   net::awaitable<bool> Send(ResponseMessage answer, bool close_after);
   net::awaitable<bool> BeginStream(ResponseHead head, bool close_after);
   net::awaitable<bool> WriteChunk(std::string bytes);
   net::awaitable<bool> EndStream();
 
-  /// Closes at once; a streamed answer cannot look whole afterwards.
+  /// Closes immediately; a partly sent stream is seen as truncated by the client.
   void Abort();
 
-  /// Closes if no request is being read or answered.
+  /// Closes if no request is being read or processed.
   void CloseIfIdle();
 
   /// Whether the connection can carry another request.
--- a/libs/gateway/include/gateway/caller_server.h
+++ b/libs/gateway/include/gateway/caller_server.h
@@ -1,4 +1,4 @@
-// Accepts callers' connections and serves their requests one after the other.
+// Accepts client connections and serves the requests of each sequentially.
 
 #pragma once
 
@@ -18,30 +18,30 @@
 
 namespace ridgehold {
 
-/// Runs on one executor; outlives its connections there.
+/// Runs on one executor; must outlive its connections.
 template <WireFormat Wire>
 class CallerServer {
  public:
-  /// Connections beyond `most_connections` are closed at once, so that
-  /// descriptors for backend servers are left.
+  /// Connections beyond `most_connections` are closed immediately, which reserves file descriptors
+  /// for backend servers.
   CallerServer(GatewayState& state, tcp::acceptor acceptor, std::size_t most_connections)
       : state_(state), acceptor_(std::move(acceptor)), most_connections_(most_connections) {}
 
   void Start() { net::co_spawn(state_.executor(), Accept(), net::detached); }
 
-  /// Accepts no more.
+  /// Stops accepting connections.
   void Stop() {
     ErrorCode ignored;
     acceptor_.close(ignored);
   }
 
-  /// Closes connections that carry no request now.
+  /// Closes idle connections.
   void CloseIdle() {
     const auto open = connections_;
     for (const auto& [connection, exchange] : open) connection->CloseIfIdle();
   }
 
-  /// Answers requests that still wait; `last_answers` of the state has passed.
+  /// Fails requests without a response; call when the state's response deadline has passed.
   void AnswerWaiting() {
     for (const auto& [connection, exchange] : connections_) {
       if (exchange) exchange->EndWaiting();
@@ -62,7 +62,7 @@
           co_await acceptor_.async_accept(net::redirect_error(net::use_awaitable, error));
       if (!acceptor_.is_open()) co_return;
       if (error) {
-        Log(LogLevel::kWarn, "accept failed", {{"detail", error.message()}});
+        Log(LogLevel::kWarn, "accepting client connection failed", {{"detail", error.message()}});
         continue;
       }
       if (connections_.size() >= most_connections_) {
@@ -97,7 +97,7 @@
         .GetCounter("ridgehold_requests",
                     "code=\"" + std::string(Describe(failure.code).name) + "\"")
         .Add();
-    Log(LogLevel::kWarn, "request not read",
+    Log(LogLevel::kWarn, "reading client request failed",
         {{"code", std::string(Describe(failure.code).name)}, {"detail", failure.detail}});
     ResponseMessage answer = MakeRefusal(failure, RequestId());
     co_await connection->Send(std::move(answer), true);
@@ -106,7 +106,7 @@
   GatewayState& state_;
   tcp::acceptor acceptor_;
   std::size_t most_connections_;
-  std::map<ConnectionPtr, ExchangePtr> connections_;  ///< with what is answered there now
+  std::map<ConnectionPtr, ExchangePtr> connections_;  ///< with the exchange in progress, if any
 };
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/deferred_requests.h
+++ b/libs/gateway/include/gateway/deferred_requests.h
@@ -1,4 +1,4 @@
-// The requests of one gateway that wait for room at an engine, in the order of their turns.
+// Priority queue of one gateway's requests that wait for capacity at an engine.
 
 #pragma once
 
@@ -12,19 +12,19 @@
 
 namespace ridgehold {
 
-/// Those that can still be in time go first, then the more urgent, then those
-/// that wait longer. Runs on one executor; outlives its tickets.
+/// Ordered by whether the request can still meet its objective, then by priority, then by arrival.
+/// Runs on one executor; must outlive its tickets.
 class DeferredRequests {
  public:
-  /// Requests that look for room at the same time; those behind them wait, as
-  /// the first ones would be passed over by later ones otherwise.
+  /// Number of requests at the head of the queue that poll for capacity concurrently. The others
+  /// wait, since later requests could overtake earlier ones otherwise.
   static constexpr std::size_t kLooking = 4;
-  /// Between two looks: reading a piece of a prompt takes an engine 50 ms.
+  /// Polling interval; an engine takes 50 ms to prefill one chunk of a prompt.
   static constexpr std::chrono::milliseconds kLook{15};
-  /// The same where a look costs questions to other gateways.
+  /// Polling interval where each poll sends queries to other gateways.
   static constexpr std::chrono::milliseconds kAskingLook{50};
 
-  /// Compares as the turns go.
+  /// Sort key; smaller is served first.
   struct Place {
     bool late = false;
     int priority = 0;
@@ -33,7 +33,7 @@
     auto operator<=>(const Place&) const = default;
   };
 
-  /// A place in the line for as long as it lives.
+  /// Holds a position in the queue while it lives.
   class Ticket {
    public:
     Ticket(DeferredRequests& line, int priority);
@@ -42,10 +42,10 @@
     Ticket(const Ticket&) = delete;
     Ticket& operator=(const Ticket&) = delete;
 
-    /// Can't be in time any more: goes behind those that can.
+    /// Moves the request behind those that can still meet their objective.
     void SetLate();
 
-    /// Whether few enough are before it.
+    /// Whether the request is among the first kLooking.
     bool MayLook() const;
 
    private:
--- a/libs/gateway/include/gateway/event_relay.h
+++ b/libs/gateway/include/gateway/event_relay.h
@@ -1,4 +1,4 @@
-// Passes a stream's whole events on, each once and in order, across attempts.
+// Forwards complete events of a stream exactly once and in order across attempts.
 
 #pragma once
 
@@ -11,30 +11,30 @@
 
 namespace ridgehold {
 
-/// Lives as long as the caller's answer. Not thread-safe.
+/// Lives as long as the response to the client. Not thread-safe.
 class EventRelay {
  public:
-  /// `resume_after`: the last event that the caller has already.
+  /// `resume_after` is the last event that the client has received.
   explicit EventRelay(std::optional<std::uint64_t> resume_after) : last_event_(resume_after) {}
 
-  /// Another attempt begins; an unfinished event of the one before is dropped.
+  /// Starts a new attempt; a partial event of the previous one is discarded.
   void StartAttempt() { reader_ = SseReader(); }
 
-  /// Takes bytes of the attempt's answer and returns the whole events that are
-  /// new to the caller, as they came.
+  /// Parses bytes of the attempt's response and returns the complete events that are new to the
+  /// client, unmodified.
   std::string Take(std::string_view bytes);
 
-  /// The number of the last event passed on; what a resumed run continues after.
+  /// Number of the last forwarded event, after which a resumed attempt continues.
   std::optional<std::uint64_t> last_event() const { return last_event_; }
 
-  /// Whether the attempt's bytes end within an event, or had an event without bound.
+  /// Whether the attempt's bytes end within an event, or an event exceeded the size limit.
   bool incomplete() const { return reader_.has_partial_event() || reader_.failed(); }
 
-  /// Whether any event has been passed on.
+  /// Whether any event has been forwarded.
   bool passed_any() const { return passed_any_; }
 
  private:
-  /// Whether the caller has the event already.
+  /// Returns whether the client already has the event; otherwise records its number.
   bool IsDuplicate(const SseEvent& event);
 
   SseReader reader_;
--- a/libs/gateway/include/gateway/exchange.h
+++ b/libs/gateway/include/gateway/exchange.h
@@ -1,4 +1,4 @@
-// One caller's request from the first look at it to the end of its answer.
+// Processes one client request from decoding to the end of its response.
 
 #pragma once
 
@@ -23,9 +23,9 @@
 
 namespace ridgehold {
 
-/// Sends the request to backend servers, one after the other, until it is
-/// answered. Keeps itself and the caller's connection alive. Never sends a
-/// request that may not run twice after an attempt that may have run.
+/// Sends the request to backend servers, one at a time, until one responds. Keeps itself and the
+/// client connection alive. Never resends a non-repeatable request after an attempt that may have
+/// been executed.
 template <WireFormat Wire>
 class Exchange : public std::enable_shared_from_this<Exchange<Wire>> {
  public:
@@ -34,7 +34,7 @@
     return std::shared_ptr<Exchange>(new Exchange(state, std::move(caller)));
   }
 
-  /// Answers the request that `caller` has read.
+  /// Responds to the request that `caller` has read.
   net::awaitable<void> Run() {
     auto self = this->shared_from_this();
     state_.RequestBegan();
@@ -43,14 +43,14 @@
     LogRequest(state_, record_);
   }
 
-  /// Answers a request that still waits once `last_answers` has passed, with what
-  /// is known. An answer that has begun goes on.
+  /// Fails a request without a response once the response deadline has passed. A response in
+  /// progress continues.
   void EndWaiting() {
     if (!begun_ && attempt_.connection) attempt_.connection->Cancel();
   }
 
  private:
-  /// One attempt while it runs.
+  /// State of the current attempt.
   struct Attempt {
     BackendPtr backend;
     TimePoint sent{};
@@ -60,7 +60,7 @@
     ResponseHead caller_head;
     std::string body;
     bool prefilled = false;
-    std::optional<ResultCode> withdrawn;  ///< why it was
+    std::optional<ResultCode> withdrawn;  ///< reason, if it was cancelled by this gateway
   };
 
   Exchange(GatewayState& state, std::shared_ptr<CallerConnection> caller)
@@ -93,14 +93,15 @@
     if (unused) state_.GiveBackQuota(record_.quota->ticket);
   }
 
-  /// Sends the request to backend servers until one has answered or none may.
+  /// Sends the request to backend servers until one responds or no further attempt is allowed.
   net::awaitable<void> Send() {
     NextStep step = NextStep::kTryAgain;
     while (step == NextStep::kTryAgain) step = co_await TryOnce();
     co_await Finish(step);
   }
 
-  /// Before the prompt moves anywhere or waits: what is over the quota costs nobody time.
+  /// Acquires quota before the request is queued or sent, so that a request over its quota uses no
+  /// capacity.
   net::awaitable<std::optional<ResultCode>> AcquireQuota() {
     const TimePoint began = Clock::now();
     record_.quota_tokens = plan_.quota->tokens;
@@ -148,13 +149,13 @@
     return std::nullopt;
   }
 
-  /// Makes one attempt and decides what follows.
+  /// Makes one attempt and decides the next step.
   net::awaitable<NextStep> TryOnce() {
     if (Quarantined()) co_return StepOfQuarantined();
     const std::optional<BackendChoice> choice = co_await search_.Find(begun_);
     if (caller_->caller_gone()) co_return NextStep::kDone;
     if (Quarantined()) co_return StepOfQuarantined();
-    // What the last attempt has answered is still the best there is.
+    // Without another backend server, the last attempt determines the result.
     if (!choice) co_return StepWithoutChoice();
     attempt_ = Attempt{};
     attempt_.backend = choice->backend;
@@ -172,7 +173,8 @@
     co_return Judge(end);
   }
 
-  /// A copy of this request may have ended backend servers anywhere by now.
+  /// Whether this request is quarantined, which may happen at any time because of copies at other
+  /// gateways.
   bool Quarantined() const {
     return state_.poison().SuspicionOf(plan_.fingerprint, Clock::now()) == Suspicion::kQuarantined;
   }
@@ -182,14 +184,14 @@
     return facts_.stream_begun ? NextStep::kBreakOff : NextStep::kFail;
   }
 
-  /// Before the request is sent on, it is found out whether the backend server has
-  /// ended under it, and others are told.
+  /// Before a retry, determines whether the backend server crashed while running the request, and
+  /// shares this with peers.
   net::awaitable<void> NoteBroken() {
     state_.poison().NoteBroken(*attempt_.backend, plan_.fingerprint, Clock::now());
     co_await state_.ConfirmEnd(attempt_.backend);
   }
 
-  /// No backend server takes the request now.
+  /// Next step when no backend server can take the request.
   NextStep StepWithoutChoice() {
     const bool nothing_known = last_code_ == ResultCode::kNoBackend;
     if (nothing_known && search_.NextCapacity()) last_code_ = ResultCode::kBackendsAtLimit;
@@ -218,7 +220,8 @@
     const std::string address = attempt_.backend->entry.address;
     Checkout checkout = co_await state_.pool().Acquire(address, WaitLimit());
     if (checkout.fault != ExchangeFault::kNone) co_return EndOf(checkout.fault);
-    // Connecting took time: the caller may have left since, or the backend server.
+    // Connecting takes time, during which the client may have disconnected or the backend server
+    // become ineligible.
     const bool caller_gone = caller_->CheckCallerGone();
     const TimePoint now = Clock::now();
     const bool too_late = now >= WaitLimit();
@@ -246,8 +249,8 @@
     co_return end;
   }
 
-  /// The bound on older weights is about the moment an engine begins a request,
-  /// so one that still waits there then is taken back.
+  /// The limit on older weights applies when an engine starts a request, so an attempt still queued
+  /// there at the limit is cancelled.
   void WatchBegin() {
     WatchQuarantine();
     if (facts_.may_repeat && facts_.runs + 1 < facts_.max_runs) {
@@ -260,9 +263,9 @@
                                   [this] { Withdraw(ResultCode::kWeightsPastLimit); });
   }
 
-  /// A copy that engines have not begun is taken back once it is quarantined. One that
-  /// makes events goes on: if it ends well, it was not the cause. So does a call that
-  /// may not run again.
+  /// Cancels an attempt that has not started when its request is quarantined. An attempt that
+  /// produces events continues: if it completes, the request was not the cause. So does a call that
+  /// may not be executed again.
   void WatchQuarantine() {
     if (plan_.route->kind == RouteKind::kUnsafe) return;
     state_.poison().Watch(running_, plan_.fingerprint, [this] {
@@ -275,7 +278,8 @@
     attempt_.connection->Cancel();
   }
 
-  /// Reads heads until one belongs to this request; answers to others are skipped.
+  /// Reads response heads until one belongs to this request; responses to other requests are
+  /// skipped.
   net::awaitable<AttemptEnd> ReadAnswer() {
     relay_.StartAttempt();
     for (int foreign = 0; foreign <= OutboundConnection::kMostForeignAnswers; ++foreign) {
@@ -342,7 +346,7 @@
     co_return co_await caller_->WriteChunk(std::move(events));
   }
 
-  /// Sends the answer's head, once; a resumed stream keeps the first one.
+  /// Sends the response head once; a resumed stream keeps the first one.
   net::awaitable<bool> BeginAnswer() {
     if (std::exchange(begun_, true)) co_return true;
     facts_.stream_begun = true;
@@ -351,15 +355,15 @@
     co_return co_await caller_->BeginStream(attempt_.caller_head, state_.shutting_down());
   }
 
-  /// The engine has made its first event, so the prompt is read.
+  /// Records that the engine has completed prefill, as shown by its first event.
   void NotePrefilled() {
     if (std::exchange(attempt_.prefilled, true)) return;
     load_->OnFirstEvent(Clock::now());
     RecordFirstEvent();
   }
 
-  /// An engine begins a request with its first event. Newer weights may have
-  /// been named while the request waited there.
+  /// The first event shows that the engine has started the request. Newer weights may have been
+  /// announced while it was queued there.
   void RecordFirstEvent() {
     waiting_.reset();
     unanswered_.reset();
@@ -373,7 +377,7 @@
     record_.older_weights->age_when_begun = use->age_when_sent;
   }
 
-  /// Until when the answer must have begun.
+  /// Deadline for the start of the response.
   TimePoint WaitLimit() const {
     return begun_ ? plan_.answer_by : std::min(plan_.answer_by, state_.last_answers());
   }
@@ -431,8 +435,8 @@
     return step;
   }
 
-  /// A whole answer shows that the backend server has survived the request. One that
-  /// fell silent may be found to have ended.
+  /// A complete response shows that the request did not crash the backend server. An unresponsive
+  /// server may later be found to have crashed.
   void NoteForPoison(AttemptEnd end, TimePoint now) {
     const bool unreachable = attempt_.withdrawn == ResultCode::kBackendUnreachable;
     if (end == AttemptEnd::kTimedOut || unreachable) {
@@ -474,8 +478,8 @@
     co_await caller_->Send(std::move(answer), state_.shutting_down());
   }
 
-  // Temporaries made of braces in a co_await's arguments are destroyed twice by
-  // g++ 12; hence plain arguments and named objects.
+  // g++ 12 destroys braced temporaries in co_await arguments twice, so arguments are plain or named
+  // objects.
   net::awaitable<void> RefuseWith(ResultCode code, std::chrono::milliseconds retry_after) {
     Failure failure;
     failure.code = code;
@@ -490,7 +494,7 @@
     co_await caller_->Send(std::move(answer), state_.shutting_down());
   }
 
-  /// A call that may not run again is left to end by itself.
+  /// A call that may not be executed again is left to complete.
   void OnCallerGone() {
     const bool worth_ending = plan_.route->kind != RouteKind::kUnsafe;
     if (worth_ending && attempt_.connection) attempt_.connection->Cancel();
--- a/libs/gateway/include/gateway/gateway_state.h
+++ b/libs/gateway/include/gateway/gateway_state.h
@@ -1,4 +1,4 @@
-// What the sessions of one gateway share: configuration, backend servers, budgets, freshness.
+// State shared by the exchanges of one gateway: configuration, backend servers, budgets, freshness.
 
 #pragma once
 
@@ -35,32 +35,32 @@
 
 namespace ridgehold {
 
-/// Bounds a gateway keeps; from the platform's settings and its own.
+/// Limits of a gateway, from the platform's settings and its own.
 struct GatewayLimits {
-  /// A key may be trusted this long after the configuration was last known to
-  /// be the newest; none: for ever.
+  /// How long an API key is trusted after the configuration was last confirmed to be the newest;
+  /// empty: indefinitely.
   std::optional<std::chrono::milliseconds> key_trust;
-  /// Requests begin on older weights at most this long after newer were named.
+  /// How long after the announcement of newer weights requests may start on older ones.
   std::chrono::milliseconds older_weights{10'000};
   RetryBound retries;
   QuotaTolerance quota_tolerance;
   LimitTolerance backend_limits;
-  /// Whole answers larger than this are not kept.
+  /// Maximum size of a buffered, non-streamed response.
   std::size_t max_answer_bytes = std::size_t{16} << 20;
-  /// A repeatable call without an answer's head for this many objectives is
-  /// tried elsewhere.
+  /// Response time-out of a repeatable call in multiples of its objective, after which it is
+  /// retried elsewhere.
   double patience_objectives = 3;
-  /// The same for resumable streams, which may wait in a queue.
+  /// Response time-out of resumable streams, which may be queued at the engine.
   double stream_patience_objectives = 5;
   AdmissionRule admission;
   PoisonRule poison;
-  /// An attempt needs at least this much time to be worth making.
+  /// Minimum remaining time for another attempt.
   std::chrono::milliseconds least_time{30};
 };
 
 static_assert(RetryAllowance::kLongestWay >= ConnectionPool::Options{}.connect_limit);
 
-/// Lives on one executor; not thread-safe. Outlives all sessions.
+/// Runs on one executor; not thread-safe. Must outlive all exchanges.
 class GatewayState {
  public:
   GatewayState(net::any_io_executor executor, ZoneId zone, GatewayLimits limits,
@@ -86,11 +86,11 @@
 
   net::any_io_executor executor() const { return executor_; }
   const ZoneId& zone() const { return zone_; }
-  /// Differs by gateway.
+  /// Unique for each gateway.
   std::uint64_t gateway_hash() const { return gateway_hash_; }
   void SetGatewayHash(std::uint64_t hash) { gateway_hash_ = hash; }
   const GatewayLimits& limits() const { return limits_; }
-  /// New limits, for requests that are decided from now on.
+  /// Applies to later decisions only.
   void SetLimits(const GatewayLimits& limits) {
     limits_ = limits;
     retries_.SetBound(limits.retries);
@@ -106,36 +106,36 @@
 
   const std::shared_ptr<const RoutingSnapshot>& snapshot() const { return snapshot_; }
 
-  /// Takes a newer configuration; returns false for one that is not newer.
+  /// Installs a newer configuration; returns false if it is not newer.
   bool TakeSnapshot(std::shared_ptr<const RoutingSnapshot> snapshot) {
     if (snapshot_ && snapshot->version() <= snapshot_->version()) return false;
     snapshot_ = std::move(snapshot);
     return true;
   }
 
-  /// The configuration was the newest one at `moment`.
+  /// Records that the configuration was the newest one at `moment`.
   void ConfirmSnapshot(TimePoint moment) { confirmed_at_ = std::max(confirmed_at_, moment); }
   TimePoint confirmed_at() const { return confirmed_at_; }
 
-  /// Whether a key's holder is certain enough at `now`.
+  /// Whether API keys of the current configuration may be trusted at `now`.
   bool MayTrustKeys(TimePoint now) const {
     return !limits_.key_trust || now - confirmed_at_ < *limits_.key_trust;
   }
 
   PrefixShares& prefix_shares() { return prefix_shares_; }
   const SampledShares& sampled_shares() const { return sampled_shares_; }
-  /// What this gateway's own requests tell of a beginning.
+  /// Sample of this gateway's own requests with the prompt prefix `first`.
   PrefixSample SampleOf(std::uint64_t first) const {
     return {own_shares_.TokensOf(first), own_shares_.total()};
   }
   const TransferLinks& links() const { return links_; }
 
-  /// What a store is believed to keep, see StoredPart.
+  /// Estimated content of a KV cache store, see StoredPart.
   const EngineCache& KeptAt(LinkHash store) { return kept_[store]; }
 
-  /// Of the engines of a service.
+  /// Observed prefill speed of a service's engines.
   PrefillRateEstimator& reading_speed(const ServiceId& service);
-  /// The same in tokens a millisecond; the settings' figure before any answer.
+  /// Prefill speed in tokens per millisecond; the configured value before any observation.
   double TokensPerMs(const ServiceId& service) const;
 
   PromptSizes& prompt_sizes() { return prompt_sizes_; }
@@ -148,22 +148,22 @@
   PoisonGuard& poison() { return poison_; }
   const PoisonGuard& poison() const { return poison_; }
 
-  /// Waits until it is known whether the backend server, where an attempt has
-  /// broken off, has ended; a few milliseconds, see BackendProber::Confirm.
+  /// Waits a few milliseconds until it is known whether a backend server with an interrupted
+  /// attempt has crashed, see BackendProber::Confirm.
   net::awaitable<void> ConfirmEnd(BackendPtr backend) {
     if (confirm_end_) co_await confirm_end_(std::move(backend));
   }
   using EndConfirmer = std::function<net::awaitable<void>(BackendPtr)>;
   void SetEndConfirmer(EndConfirmer confirm) { confirm_end_ = std::move(confirm); }
 
-  /// Where requests of workspaces with a quota ask for their part of it.
+  /// Callbacks that acquire and refund quota.
   struct QuotaAsker {
     std::function<net::awaitable<QuotaOutcome>(QuotaDemand)> acquire;
     std::function<void(const QuotaTicket&)> give_back;
   };
   void SetQuotaAsker(QuotaAsker asker) { quota_asker_ = std::move(asker); }
   net::awaitable<QuotaOutcome> AcquireQuota(QuotaDemand demand);
-  /// What was acquired for a request that has not run.
+  /// Refunds quota acquired for a request that was not executed.
   void GiveBackQuota(const QuotaTicket& ticket) {
     if (quota_asker_.give_back) quota_asker_.give_back(ticket);
   }
@@ -173,89 +173,88 @@
 
   DeferredRequests& deferred_requests() { return deferred_requests_; }
 
-  /// Gateways that are alive, this one included.
+  /// Number of live gateways, including this one.
   std::uint32_t gateways() const { return gateways_; }
   void SetGateways(std::uint32_t gateways, TimePoint now) {
     gateways_ = std::max(gateways, 1U);
     retries_.SetGateways(gateways_, now);
   }
 
-  /// Asks the gateways that track backend servers; see SetLoadAsker.
+  /// Queries the gateways that track backend servers; see SetLoadAsker.
   using LoadAsker = std::function<net::awaitable<LoadAnswer>(LoadQuestion)>;
 
-  /// Whether others are asked before a request is placed. In a small fleet all
-  /// tell all, so everything is known here.
+  /// Whether peers are queried before a request is placed. In a small fleet all gateways broadcast
+  /// their load, so queries are unnecessary.
   bool asks_first() const { return static_cast<bool>(ask_loads_); }
-  /// From now on others are asked; empty: not any more.
+  /// Enables queries to peers; an empty function disables them.
   void SetLoadAsker(LoadAsker ask) { ask_loads_ = std::move(ask); }
 
-  /// Asks, and takes what is answered into the tables. Only while asks_first().
+  /// Queries peers and applies their reports. Requires asks_first().
   net::awaitable<LoadAnswer> AskLoads(LoadQuestion question);
 
-  /// Engines that are believed to have all these parts, those on the newest weights
-  /// first, a few at most. Only the gateway that tracks the prompt's home is told
-  /// of all of them.
+  /// Up to two engines that are estimated to have all these parts cached, those with the newest
+  /// weights first. Only the gateway that tracks the prompt's home server knows all of them.
   std::vector<BackendHash> HoldersOf(const std::vector<SharedPart>& parts, TimePoint now) const;
 
-  /// This gateway's own requests there.
+  /// Load of this gateway's own requests at the backend server.
   LoadUpdate OwnLoadAt(const Backend& backend, TimePoint now);
 
-  /// The store of kept cache at this link; null if the configuration has none.
+  /// The KV cache store at this link; null if the configuration has none.
   const KvCacheStore* StoreAt(LinkHash link) const;
 
-  /// What is known here of a backend server, for a gateway that asks. Its own
-  /// requests there are to be taken off `work`, which has those of all others.
+  /// Report on a backend server for a querying gateway, which must subtract its own requests from
+  /// `work`.
   BackendReport ReportOn(const Backend& backend, const LoadQuestion& question, TimePoint now);
   StoreReport ReportOn(const StoreQuery& store, const LoadQuestion& question, TimePoint now);
 
-  /// Other gateways that are alive but tell nothing of their work.
+  /// Number of live peers that do not report their load.
   double unheard_gateways() const {
     if (asks_first()) return 0;
     return std::max(0.0, static_cast<double>(gateways_) - 1 - heard_gateways_);
   }
   void SetHeardGateways(std::size_t heard) { heard_gateways_ = static_cast<double>(heard); }
 
-  /// News for the other gateways.
+  /// Updates pending for the other gateways.
   const GossipItems& news() const { return news_; }
 
-  /// A request was sent to an engine, by this or another gateway.
+  /// Applies the placement of a request by this or another gateway.
   void TakePlaced(const PlacementUpdate& placed, TimePoint now);
-  /// This gateway sent it: the others are to know soon.
+  /// Applies a placement by this gateway and queues it for its peers.
   void TellPlaced(PlacementUpdate placed);
-  /// Called after each TellPlaced.
+  /// `listener` is called after each TellPlaced.
   void SetPlacedListener(std::function<void()> listener) { on_placed_ = std::move(listener); }
 
-  /// Something has changed that a gateway that tracks it is to hear of.
+  /// Reports a load change to the gateways that track the backend server.
   void NoteLoadChange() {
     if (on_load_change_) on_load_change_();
   }
   void SetLoadListener(std::function<void()> listener) { on_load_change_ = std::move(listener); }
 
-  /// Takes out what is to be told now; of placed requests at most `most_placed`.
+  /// Removes and returns pending updates, with at most `most_placed` placements.
   GossipItems TakeNews(std::size_t most_placed);
 
-  /// Keeps new requests off a backend server, here and at the other gateways;
-  /// zero lets them in again.
+  /// Stops new requests to a backend server for `length` at all gateways; zero resumes them.
   void Hold(Backend& backend, std::chrono::milliseconds length, TimePoint now);
 
-  /// A backend server was seen to run these weights.
+  /// Records the weights that a backend server was observed to run.
   void NoteWeights(Backend& backend, const ModelId& model, WeightsNumber number);
 
-  /// A probe of this gateway has not reached it; the others are to look, too.
+  /// Marks a backend server unreachable after a failed probe of this gateway, and prompts peers to
+  /// probe it.
   void NoteUnreachable(Backend& backend);
 
-  /// Requests of this gateway there that could not all be resumed elsewhere if
-  /// they were broken off together now: the retry allowance does not last.
+  /// Number of this gateway's requests there that the retry budget would not cover if all were
+  /// interrupted at once.
   std::uint32_t Uncovered(const Backend& backend, TimePoint now);
 
   bool shutting_down() const { return shutting_down_; }
   void BeginShutdown() { shutting_down_ = true; }
 
-  /// From now on new requests are refused: they could not end in time.
+  /// Rejects new requests from now on, as they could not complete before shutdown.
   void RefuseNewRequests() { refusing_new_ = true; }
   bool refusing_new() const { return refusing_new_; }
 
-  /// Requests whose answer has not begun by `moment` are answered then.
+  /// Requests without a response at `moment` are failed then.
   void SetLastAnswers(TimePoint moment) { last_answers_ = moment; }
   TimePoint last_answers() const { return last_answers_; }
 
@@ -263,11 +262,11 @@
   void RequestBegan() { ++in_flight_; }
   void RequestEnded() { --in_flight_; }
 
-  /// Where each backend server is picked from among equals.
+  /// Sequence number for round-robin selection among equal backend servers.
   std::uint64_t NextSequence() { return ++sequence_; }
 
  private:
-  /// Memory of an engine of the service; 0: not known.
+  /// KV cache capacity of the service's engines in tokens; 0: unknown.
   std::uint64_t CacheTokensOf(const ServiceId& service) const;
   void NoteTransfers(const PlacementUpdate& placed, TimePoint now);
   void TakeReport(const LoadQuestion& question, const BackendReport& report, TimePoint now);
@@ -285,8 +284,8 @@
   std::shared_ptr<const RoutingSnapshot> snapshot_;
   TimePoint confirmed_at_{};
   PrefixShares prefix_shares_;
-  PrefixShares own_shares_;       ///< of this gateway's requests
-  SampledShares sampled_shares_;  ///< of all, as answers tell
+  PrefixShares own_shares_;       ///< from this gateway's requests
+  SampledShares sampled_shares_;  ///< from all requests, as reported by peers
   TransferLinks links_;
   std::unordered_map<LinkHash, EngineCache> kept_;  ///< by store
   std::map<ServiceId, PrefillRateEstimator> reading_speeds_;
--- a/libs/gateway/include/gateway/inbound_request.h
+++ b/libs/gateway/include/gateway/inbound_request.h
@@ -1,4 +1,4 @@
-// A caller's request, decoded: who asks, for what, until when.
+// Decoded client request: identity, content and deadline.
 
 #pragma once
 
@@ -15,29 +15,29 @@
 /// The number of a model's weights; rises with each new version.
 using WeightsNumber = Strong<struct WeightsNumberTag, std::uint64_t>;
 
-/// A part of a prompt, which requests may share.
+/// A segment of a prompt, which several requests may share.
 struct PromptPart {
   std::uint64_t id = 0;
   std::uint32_t tokens = 0;
 };
 
-/// What a request for generated text says of itself.
+/// Parameters of a text generation request.
 struct GenerationRequest {
   ModelId model;
   std::uint32_t prompt_tokens = 0;
   std::uint32_t max_output_tokens = 0;
-  std::vector<PromptPart> parts;  ///< in order; the last one is the request's own
+  std::vector<PromptPart> parts;  ///< in order; the last one is specific to the request
 };
 
-/// Decoded once, at the edge.
+/// Decoded once, when the request is received.
 struct InboundRequest {
   RequestId id;
   std::string host;                                     ///< lower case, without a port
   std::string path;                                     ///< without the query
-  std::string key;                                      ///< empty: none was sent
-  std::optional<std::chrono::milliseconds> time_limit;  ///< how long the caller will wait
+  std::string key;                                      ///< empty if none was sent
+  std::optional<std::chrono::milliseconds> time_limit;  ///< how long the client will wait
   std::optional<GenerationRequest> generation;
-  std::optional<std::uint64_t> resume_after;  ///< the last event the caller has
+  std::optional<std::uint64_t> resume_after;  ///< the last event that the client has received
   TimePoint received{};
 };
 
--- a/libs/gateway/include/gateway/poison_detector.h
+++ b/libs/gateway/include/gateway/poison_detector.h
@@ -1,4 +1,4 @@
-// Tells requests that end the backend servers that run them from those that were just there.
+// Distinguishes requests that crash backend servers from requests that were running by coincidence.
 
 #pragma once
 
@@ -14,53 +14,55 @@
 
 namespace ridgehold {
 
-/// What is believed of all requests with one fingerprint.
+/// Classification of all requests with one fingerprint.
 enum class Suspicion : std::uint8_t {
-  kNone,         ///< no backend server has ended under it lately, or one has survived it since
-  kSuspect,      ///< some have ended under it, fewer than it takes
-  kLastTrial,    ///< one more end and it is quarantined
+  kNone,         ///< no recent crash, or a successful run since
+  kSuspect,      ///< some crashes, fewer than the threshold
+  kLastTrial,    ///< one more crash leads to quarantine
   kQuarantined,  ///< not sent to any backend server
 };
 
-/// When a request is taken for the cause.
+/// Thresholds for treating a request as the cause of crashes.
 struct PoisonRule {
-  /// Different backend servers that ended under it, none having survived it between.
-  /// A bystander is sent on to another server, and shares a second end with the cause
-  /// by chance: of 9 servers one in eight does, so two prove nothing. 0: switched off.
+  /// Number of distinct backend servers that must crash while running it, without a success in
+  /// between. An innocent request is retried on another server and may by chance share a second
+  /// crash with the culprit: with 9 servers one in eight does, so two crashes prove nothing. 0
+  /// disables detection.
   std::uint32_t most_ends = 3;
-  /// An end counts for so long. Copies may come minutes apart.
+  /// How long a crash counts. Copies of a request may arrive minutes apart.
   std::chrono::milliseconds memory{600'000};
-  /// Not tried at all for so long, which bounds what a mistake costs; then once more
-  /// (kLastTrial), so an incurable one ends six backend servers an hour.
+  /// How long a request is not sent at all, which bounds the cost of a false positive. Then it is
+  /// tried once more (kLastTrial), so a persistent poison request crashes six backend servers an
+  /// hour.
   std::chrono::milliseconds quarantine{600'000};
-  /// Fingerprints that are remembered, some 200 bytes each; those heard of first go.
+  /// Maximum number of remembered fingerprints, about 200 bytes each; the oldest are evicted first.
   std::size_t most_suspects = 10'000;
 };
 
-/// Counts, for each fingerprint, the backend servers that ended while it was there. A
-/// run that a server survives clears it: requests that many callers send are there at
-/// many ends. Not thread-safe; time comes in as a value.
+/// Counts, for each fingerprint, the backend servers that crashed while running it. A successful
+/// run clears the count: requests that many clients send are running at many crashes. Not
+/// thread-safe; the caller supplies the time.
 class PoisonDetector {
  public:
   explicit PoisonDetector(PoisonRule rule) : rule_(rule) {}
 
-  /// This backend server ended while the request was there; the same end may be told
-  /// again. Returns whether the request is quarantined from now on.
+  /// Records a crash of the backend server while it was running the request. Idempotent for the
+  /// same crash. Returns whether this puts the request in quarantine.
   bool TakeEnd(RequestFingerprint request, BackendHash backend, TimePoint now);
 
-  /// A backend server has survived it: all ends so far are forgiven. Returns whether
-  /// there was anything to forgive.
+  /// Clears all crashes counted so far, because a backend server completed the request. Returns
+  /// whether there was anything to clear.
   bool TakeSurvived(RequestFingerprint request, TimePoint now);
 
-  /// Quarantined by others, for `left`. Returns whether that is news.
+  /// Applies a quarantine decided elsewhere that lasts for `left`. Returns whether it is new here.
   bool TakeQuarantine(RequestFingerprint request, Duration left, TimePoint now);
 
   Suspicion SuspicionOf(RequestFingerprint request, TimePoint now) const;
 
-  /// Ends that count against it now.
+  /// Number of crashes that count against it now.
   std::uint32_t EndsOf(RequestFingerprint request) const;
 
-  /// A quarantine, and when it ends.
+  /// A quarantined request with the end of its quarantine.
   struct Quarantine {
     RequestFingerprint request;
     TimePoint until{};
@@ -71,10 +73,10 @@
 
  private:
   struct Record {
-    std::vector<BackendHash> ends;  ///< all that were told of, forgiven ones included
-    std::size_t forgiven = 0;       ///< the first of them
-    TimePoint last{};               ///< when the last one was told of
-    TimePoint until{};              ///< of the quarantine; zero: none
+    std::vector<BackendHash> ends;  ///< all reported crashes, including cleared ones
+    std::size_t forgiven = 0;       ///< number of leading entries that were cleared
+    TimePoint last{};               ///< when the last crash was reported
+    TimePoint until{};              ///< end of the quarantine; epoch: none
 
     std::uint32_t counted() const { return static_cast<std::uint32_t>(ends.size() - forgiven); }
   };
--- a/libs/gateway/include/gateway/poison_guard.h
+++ b/libs/gateway/include/gateway/poison_guard.h
@@ -1,4 +1,4 @@
-// Keeps requests that end backend servers from being sent on, at this gateway and all others.
+// Quarantines requests that crash backend servers, at this gateway and its peers.
 
 #pragma once
 
@@ -20,12 +20,12 @@
 
 namespace ridgehold {
 
-/// Without it a request that ended each of nine engines ended 39 of them in 40 s, since
-/// every gateway sent every copy of it on; with it the third end is the last, but for
-/// copies that ran side by side. Runs on one executor; outlives its tickets.
+/// Without it, a request that crashed every one of nine engines caused 39 crashes in 40 s, since
+/// each gateway retried each copy of it; with it the third crash is the last one, except for copies
+/// that ran concurrently. Runs on one executor; must outlive its tickets.
 class PoisonGuard {
  public:
-  /// Attempts at backend servers, by what they carry.
+  /// Running attempts by the fingerprint of their request.
   using Attempts = WithdrawableAttempts<RequestFingerprint>;
   using Ticket = Attempts::Ticket;
 
@@ -35,37 +35,38 @@
     return detector_.SuspicionOf(request, now);
   }
 
-  /// An attempt is sent; it is withdrawn if its request is quarantined. `ticket` is filled.
+  /// Registers an attempt, which is cancelled if its request is quarantined, and sets `ticket`.
   void Watch(std::optional<Ticket>& ticket, RequestFingerprint request,
              Attempts::Withdraw withdraw) {
     running_.Add(ticket, request, std::move(withdraw));
   }
 
-  /// An attempt broke off there, or got no answer.
+  /// Records an attempt that was interrupted or got no response.
   void NoteBroken(const Backend& backend, RequestFingerprint request, TimePoint now);
-  /// The backend server has ended, as `evidence` shows.
+  /// Records that the backend server has terminated; `evidence` is logged.
   void NoteEnded(const Backend& backend, const char* evidence, TimePoint now);
   bool HasEnded(const Backend& backend) const { return broken_.HasEnded(HashOf(backend)); }
-  /// A backend server has run it and lives.
+  /// Records that a backend server has completed the request.
   void NoteSurvived(RequestFingerprint request, TimePoint now);
 
-  /// What another gateway tells.
+  /// Applies an update from another gateway.
   void Take(const PoisonNews& news, TimePoint now);
-  /// Takes out what the others are to be told.
+  /// Removes and returns the updates pending for the other gateways.
   PoisonNews TakeNews();
-  /// Called when there is something to tell.
+  /// `listener` is called when updates are pending.
   void SetNewsListener(std::function<void()> listener) { on_news_ = std::move(listener); }
 
-  /// The platform's store has it quarantined for `left` more.
+  /// Applies a quarantine read from the platform's store that lasts for `left`.
   void TakeStored(RequestFingerprint request, Duration left, TimePoint now);
-  /// Quarantines that this gateway or others decided, not those read from the store.
+  /// Quarantines decided by this gateway or its peers, without those read from the store.
   std::vector<PoisonDetector::Quarantine> Decided(TimePoint now);
-  /// Decided here, so that this gateway writes it to the store without delay.
+  /// Whether this gateway decided the quarantine, and so writes it to the store without delay.
   bool DecidedHere(RequestFingerprint request) const { return decided_here_.contains(request); }
-  /// Takes out quarantines that ended early and are to be erased in the store.
+  /// Removes and returns quarantines that ended early and must be deleted from the store.
   std::vector<RequestFingerprint> TakeReleased();
 
-  /// Lifts a quarantine by hand, everywhere; returns whether there was one here.
+  /// Releases a request on an operator's command, at all gateways. Returns whether it was
+  /// quarantined here.
   bool Release(RequestFingerprint request, TimePoint now);
 
   std::vector<PoisonDetector::Quarantine> Quarantined(TimePoint now) const {
@@ -95,9 +96,9 @@
   std::vector<RequestFingerprint> released_;
 };
 
-/// Where all gateways send a request that has one trial left, so that copies that come
-/// at the same moment end one backend server and not several. `candidates` are not
-/// none; those that cannot be reached are passed over.
+/// Selects the backend server to which all gateways send a request with one trial left, so that
+/// concurrent copies crash only one backend server. `candidates` must not be empty; reachable ones
+/// are preferred.
 BackendPtr TrialBackend(RequestFingerprint request, std::span<const BackendPtr> candidates);
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/poison_news.h
+++ b/libs/gateway/include/gateway/poison_news.h
@@ -1,4 +1,4 @@
-// What gateways tell each other of requests that may end backend servers.
+// Updates that gateways exchange about requests suspected of crashing backend servers.
 
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace ridgehold {
 
-/// A backend server ended while the request was there.
+/// A backend server crashed while it was running the request.
 struct EndNews {
   BackendHash backend = 0;
   RequestFingerprint request;
@@ -17,11 +17,12 @@
   bool operator==(const EndNews&) const = default;
 };
 
-/// Every item may be told any number of times.
+/// Items are idempotent and may be sent any number of times.
 struct PoisonNews {
   std::vector<EndNews> ends;
-  std::vector<RequestFingerprint> survived;     ///< by a backend server, or released by hand
-  std::vector<RequestFingerprint> quarantined;  ///< from now on
+  std::vector<RequestFingerprint>
+      survived;  ///< a backend server completed it, or an operator released it
+  std::vector<RequestFingerprint> quarantined;  ///< newly quarantined
 
   bool empty() const { return ends.empty() && survived.empty() && quarantined.empty(); }
 };
--- a/libs/gateway/include/gateway/recent_survivors.h
+++ b/libs/gateway/include/gateway/recent_survivors.h
@@ -1,4 +1,4 @@
-// Requests that backend servers have survived just now.
+// Requests that backend servers have recently completed without a crash.
 
 #pragma once
 
@@ -13,16 +13,17 @@
 
 namespace ridgehold {
 
-/// What many callers send is at several servers when a zone is lost, and would be taken
-/// for the cause: of a tenth of all requests, one in sixteen was refused. One gateway that
-/// has just seen it served knows better. Not thread-safe; time comes in as a value.
+/// A request that many clients send is running at several servers when a zone fails, and would be
+/// taken for the cause: with a tenth of all requests being such copies, one in sixteen of them was
+/// rejected. A gateway that has recently seen the request succeed prevents this. Not thread-safe;
+/// the caller supplies the time.
 class RecentSurvivors {
  public:
-  /// A request that ends servers from now on, since their weights or their release are
-  /// new, is believed in for so long still.
+  /// Retention period. For this long a request is still trusted after it begins to crash servers,
+  /// for example because of new weights or a new release.
   static constexpr std::chrono::milliseconds kRecent{10'000};
-  /// More than a gateway serves in that time, some 10 a second in a large fleet and 100
-  /// in a small one.
+  /// More than a gateway serves within kRecent, at about 10 requests/s in a large fleet and 100 in
+  /// a small one.
   static constexpr std::size_t kMost = 10'000;
 
   void Add(RequestFingerprint request, TimePoint now) {
--- a/libs/gateway/include/gateway/rests_of_others.h
+++ b/libs/gateway/include/gateway/rests_of_others.h
@@ -1,4 +1,4 @@
-// Rests that a backend server has asked of other gateways.
+// Back-offs that a backend server has requested from other gateways.
 
 #pragma once
 
@@ -10,9 +10,10 @@
 
 namespace ridgehold {
 
-/// A rest is asked of one gateway, and some servers turn one away and serve all others. One
-/// that has asked two of them turns away all: told of that, a large fleet tries it twice,
-/// and not once for each gateway. Not thread-safe; time comes in as a value.
+/// A back-off is requested from one gateway, and some servers reject one gateway but serve all
+/// others. A server that has asked two gateways is assumed to reject all: with this information a
+/// large fleet tries it twice instead of once for each gateway. Not thread-safe; the caller
+/// supplies the time.
 class RestsOfOthers {
  public:
   void Note(std::uint64_t gateway, TimePoint until) {
@@ -21,18 +22,18 @@
     if (until > known->until) *known = {gateway, until};
   }
 
-  /// While two rests last at least; long past if there were never two.
+  /// Until when at least two back-offs are in effect; the epoch if there were never two.
   TimePoint TwoUntil() const { return std::min(rests_[0].until, rests_[1].until); }
 
   void Clear() { rests_ = {}; }
 
  private:
   struct Rest {
-    std::uint64_t gateway = 0;  ///< 0: none
+    std::uint64_t gateway = 0;  ///< 0: unused
     TimePoint until{};
   };
 
-  std::array<Rest, 2> rests_;  ///< the last to end
+  std::array<Rest, 2> rests_;  ///< the two that end last
 };
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/retry_allowance.h
+++ b/libs/gateway/include/gateway/retry_allowance.h
@@ -1,4 +1,4 @@
-// One gateway's share of the retries that all gateways together may send to a service.
+// One gateway's share of a service's retry budget over a sliding window.
 
 #pragma once
 
@@ -12,54 +12,51 @@
 
 namespace ridgehold {
 
-/// The bound on retries: in any window at most `ratio` x requests + `slack`,
-/// over all gateways.
+/// Limit on retries of all gateways together: at most `ratio` * requests + `slack` in any window.
 struct RetryBound {
   double ratio = 0.1;
   double slack = 5;
   std::chrono::milliseconds window{10'000};
 };
 
-/// Counts a service's requests and retries over the last window. A retry is
-/// allowed while the window in which it arrives stays within this gateway's
-/// share: its part of the slack, and `ratio` of its own requests. So a burst may
-/// use what the last window's requests have earned. Where a count is not exact
-/// it errs to fewer retries: requests over less than the window, retries over
-/// more. Not thread-safe; time comes in as a value.
+/// Counts a service's requests and retries over the last window. A retry is allowed while the
+/// window in which it arrives stays within this gateway's share: its part of the slack, plus
+/// `ratio` of its own requests. A burst of retries may thus use the budget earned by the last
+/// window's requests. Approximations err towards fewer retries: requests are counted over less than
+/// the window, retries over more. Not thread-safe; the caller supplies the time.
 class RetryAllowance {
  public:
-  /// Part of the bound that is used; the rest covers gateways that are not known.
+  /// Fraction of the limit that is used; the remainder covers unknown gateways.
   static constexpr double kUsedPart = 0.8;
 
-  /// A retry arrives at most so long after it was allowed: connecting lies
-  /// between, see ConnectionPool::Options::connect_limit.
+  /// Maximum time between the grant of a retry and its arrival, which includes connecting, see
+  /// ConnectionPool::Options::connect_limit.
   static constexpr std::chrono::milliseconds kLongestWay{700};
 
   explicit RetryAllowance(RetryBound bound) : bound_(bound) {}
 
-  /// Another bound holds from now on; what was counted stays.
+  /// Another bound holds from now on; existing counts are kept.
   void SetBound(RetryBound bound) { bound_ = bound; }
 
-  /// `gateways` are alive. More share the slack at once; fewer only when a window
-  /// has passed: until then retries of those that are gone count, and leases that
-  /// lapse while the store is away end no gateway.
+  /// Sets the number of live gateways. An increase divides the slack further at once. A decrease
+  /// takes effect only after a window: until then retries of departed gateways still count, and
+  /// leases that expire during a store outage do not mean that their gateways have stopped.
   void SetGateways(std::uint32_t gateways, TimePoint now);
 
-  /// A request for `service` came in.
+  /// Records an incoming request for `service`.
   void Earn(const ServiceId& service, TimePoint now);
 
-  /// Returns whether one more arrival beyond a request's first is allowed, and
-  /// counts it.
+  /// Consumes one retry; returns false if the budget is exhausted.
   bool Spend(const ServiceId& service, TimePoint now);
 
-  /// How many more arrivals are allowed now.
+  /// Number of retries that are allowed now.
   double Left(const ServiceId& service, TimePoint now);
 
  private:
   static constexpr std::size_t kSteps = 20;
 
-  /// Counts by steps of a twentieth of the window, the current one included, so
-  /// over at most the window.
+  /// Counts in buckets of a twentieth of the window, including the current one, so over at most the
+  /// window.
   class WindowCounter {
    public:
     void Add(std::int64_t step);
@@ -68,14 +65,15 @@
    private:
     void Advance(std::int64_t step);
 
-    /// Entry `step % kSteps` is of the newest step with that rest.
+    /// Entry `step % kSteps` belongs to the newest step with that remainder.
     std::array<std::uint32_t, kSteps> counts_{};
     std::int64_t newest_ = 0;
   };
 
   struct Counters {
     WindowCounter requests;
-    std::deque<TimePoint> retries;  ///< when each was allowed; few, by the bound
+    std::deque<TimePoint>
+        retries;  ///< when each was granted; their number is limited by the budget
   };
 
   struct GatewayCount {
@@ -83,12 +81,12 @@
     TimePoint since;  ///< when the last larger count ended
   };
 
-  /// The most gateways at any moment of the counted span that ends now.
+  /// Maximum number of gateways at any time within the counted span that ends at `now`.
   std::uint32_t MostGateways(TimePoint now);
 
   std::int64_t StepAt(TimePoint now) const;
 
-  /// Retries that were allowed within it may share a window with one allowed now.
+  /// Retries granted within this span may arrive in the same window as one granted now.
   std::chrono::milliseconds CountedSpan() const { return bound_.window + kLongestWay; }
 
   RetryBound bound_;
--- a/libs/gateway/include/gateway/unanswered_attempts.h
+++ b/libs/gateway/include/gateway/unanswered_attempts.h
@@ -1,4 +1,4 @@
-// Attempts that have no answer yet, withdrawn when their backend server is out of reach.
+// Attempts without a response, cancelled when their backend server becomes unreachable.
 
 #pragma once
 
@@ -7,9 +7,9 @@
 
 namespace ridgehold {
 
-/// A backend server that falls silent keeps what was sent there. Those requests that may
-/// run again go elsewhere as soon as a probe does not reach it, after some 0.9 s, and not
-/// when their patience of several objectives is over.
+/// Requests at an unresponsive backend server that may be executed again are retried elsewhere as
+/// soon as a probe fails, after about 0.9 s, instead of after their response time-out of several
+/// objectives.
 class UnansweredAttempts : public WithdrawableAttempts<BackendId> {
  public:
   void WithdrawFrom(const BackendId& backend) {
--- a/libs/gateway/include/gateway/uncounted_turns.h
+++ b/libs/gateway/include/gateway/uncounted_turns.h
@@ -1,4 +1,4 @@
-// Requests to a backend server with a limit while nobody can be asked who counts them.
+// Fallback for requests to a rate-limited backend server while no quota holder can be reached.
 
 #pragma once
 
@@ -11,25 +11,25 @@
 
 namespace ridgehold {
 
-/// Each gateway draws, for each second by itself, whether it may send one request. No
-/// message is needed: all gateways together get a part of the limit on average, and what
-/// is not used in its second is lost, so that nothing adds up.
+/// For each slot of one second, each gateway decides by a hash whether it may send one request.
+/// This needs no messages: all gateways together use a fraction of the limit on average, and unused
+/// slots expire, so that no burst accumulates.
 class UncountedTurns {
  public:
   static constexpr std::chrono::seconds kTurn{1};
-  /// Of the limit, for all gateways together. The others may be cut off from this one and
-  /// go on being granted the whole of it.
+  /// Fraction of the limit available to all gateways together. Peers in another partition may still
+  /// be granted the whole limit.
   static constexpr double kPart = 0.125;
 
   struct Draw {
     BackendHash backend = 0;
-    std::uint64_t gateway = 0;   ///< differs by gateway
-    std::uint32_t gateways = 1;  ///< that draw
+    std::uint64_t gateway = 0;   ///< unique for each gateway
+    std::uint32_t gateways = 1;  ///< number of gateways that share the limit
     RequestRate limit;
   };
 
   static std::int64_t TurnAt(TimePoint now) { return now.time_since_epoch() / kTurn; }
-  /// When the turn after that at `now` begins.
+  /// Start of the slot after the one at `now`.
   static TimePoint NextTurn(TimePoint now) { return TimePoint(kTurn * (TurnAt(now) + 1)); }
 
   static bool IsDrawn(const Draw& draw, std::int64_t turn);
--- a/libs/gateway/include/gateway/waiting_attempts.h
+++ b/libs/gateway/include/gateway/waiting_attempts.h
@@ -1,4 +1,4 @@
-// Requests that engines have not begun yet, withdrawn when their weights get too old.
+// Attempts queued at engines, cancelled when their weights become too old.
 
 #pragma once
 
@@ -14,30 +14,33 @@
 
 namespace ridgehold {
 
-/// What an attempt needs to begin in time.
+/// Weights that an attempt was sent for.
 struct WeightsAsked {
   ModelId model;
   WeightsNumber weights;
 };
 
-/// The bound on older weights is about when an engine begins a request. A
-/// queue may lie between sending and that, and newer weights may be named
-/// meanwhile; so what waits is watched until its first event. Runs on one
-/// executor; outlives its tickets.
+/// The limit on outdated weights applies when an engine starts a request. A request may be queued
+/// at the engine for some time after it was sent, and newer weights may be announced meanwhile;
+/// each attempt is therefore watched until its first event. Runs on one executor; must outlive its
+/// tickets.
 class WaitingAttempts {
  public:
   using Attempts = WithdrawableAttempts<WeightsAsked>;
   using Ticket = Attempts::Ticket;
 
-  /// `limit` is how long a request may begin on weights after newer were named.
+  /// `limit` is how long after the announcement of newer weights a request may still start on the
+  /// old ones.
   WaitingAttempts(net::any_io_executor executor, const WeightsHistory& named,
                   std::chrono::milliseconds limit)
       : named_(named), limit_(limit), timer_(executor) {}
 
-  /// An attempt waits at an engine with these weights. `ticket` is filled.
+  /// Watches an attempt queued at an engine with these weights while `ticket`, which is set here,
+  /// lives.
   void Add(std::optional<Ticket>& ticket, const WeightsAsked& asked, Attempts::Withdraw withdraw);
 
-  /// Weights were named, or the moment of a naming is known better.
+  /// Cancels attempts past their deadline. Call after weights were announced or the time of an
+  /// announcement was corrected.
   void Review();
 
   void SetLimit(std::chrono::milliseconds limit);
@@ -45,9 +48,9 @@
   std::size_t size() const { return attempts_.size(); }
 
  private:
-  /// When the attempt must have begun; nothing while its weights are the newest.
+  /// Deadline for the attempt to start; empty while its weights are the newest.
   std::optional<TimePoint> BoundOf(const WeightsAsked& asked) const;
-  /// Unless a review is due before.
+  /// Arms the timer unless it expires earlier already.
   void ArmFor(TimePoint bound);
 
   const WeightsHistory& named_;
--- a/libs/gateway/include/gateway/withdrawable_attempts.h
+++ b/libs/gateway/include/gateway/withdrawable_attempts.h
@@ -1,4 +1,4 @@
-// Attempts that run, each with a way to end it.
+// Running attempts with their cancellation callbacks.
 
 #pragma once
 
@@ -12,15 +12,15 @@
 
 namespace ridgehold {
 
-/// Watched by `Facts`, which say when an attempt is to be withdrawn. Runs on one executor;
-/// outlives its tickets.
+/// Each attempt is registered with `Facts` by which it can be selected for cancellation. Runs on
+/// one executor; must outlive its tickets.
 template <class Facts>
 class WithdrawableAttempts {
  public:
-  /// Ends the attempt; its ticket, and those of others, may be dropped within.
+  /// Cancels the attempt. The callback may destroy its own ticket and others.
   using Withdraw = std::function<void()>;
 
-  /// An attempt is watched for as long as its ticket lives.
+  /// Keeps an attempt registered while it lives.
   class Ticket {
    public:
     Ticket(WithdrawableAttempts& attempts, std::uint64_t number)
@@ -35,15 +35,15 @@
     std::uint64_t number_;
   };
 
-  /// `ticket` is filled.
+  /// Registers an attempt and sets `ticket`.
   void Add(std::optional<Ticket>& ticket, Facts facts, Withdraw withdraw) {
     const std::uint64_t number = ++last_number_;
     entries_[number] = {std::move(facts), std::move(withdraw)};
     ticket.emplace(*this, number);
   }
 
-  /// Withdraws those for whose facts `matches` holds; it is called once for each, before
-  /// any is withdrawn. They are not watched any more.
+  /// Cancels and unregisters the attempts whose facts satisfy `matches`, which is called once for
+  /// each before any is cancelled.
   template <class Predicate>
   void WithdrawIf(Predicate matches) {
     std::vector<std::uint64_t> matching;
--- a/libs/gateway/src/attempt_policy.cc
+++ b/libs/gateway/src/attempt_policy.cc
@@ -11,20 +11,20 @@
 constexpr int kFirstError = 400;
 constexpr int kFirstServerError = 500;
 
-/// Statuses by which callers learn that the request did not run.
+/// Statuses that clients take as proof that the request was not executed.
 bool PromisesNotRun(int status) {
   return status == kTooManyRequests || status == kServiceUnavailable || status == kRequestTimeout ||
          status == kMisdirected;
 }
 
-/// Whether another backend server may answer better.
+/// Whether another backend server may give a better response.
 bool WorthRepeating(const AttemptFacts& facts) {
   if (facts.end != AttemptEnd::kAnswered) return true;
   return facts.status >= kFirstServerError || PromisesNotRun(facts.status);
 }
 
-/// Whether the answer may be passed on as it is. A status that promises "not
-/// run" is passed on only where that is proved for all attempts.
+/// Whether the response may be forwarded unchanged. A status that implies "not executed" is never
+/// forwarded here; it is reported only if that is proved for all attempts.
 bool Deliverable(const AttemptFacts& facts) {
   if (facts.end != AttemptEnd::kAnswered || facts.stream_begun) return false;
   if (facts.status < kFirstError) return facts.has_signature;
--- a/libs/gateway/src/backend_permit.cc
+++ b/libs/gateway/src/backend_permit.cc
@@ -11,15 +11,16 @@
 namespace ridgehold {
 namespace {
 
-// A share that nobody held is taken within some 300 ms. The backend server gets what it
-// got before for so long: were all to name limits at once, nothing would be served else.
+// Requests are sent without a permit for this long after a limit is first seen. A quota share
+// without a holder is taken over within about 300 ms; if all backend servers set limits at once, no
+// request would be served until then.
 constexpr std::chrono::milliseconds kNobodyCountsYet{1'000};
-// Whoever counts may be back by then.
+// Retry interval while there is no quota holder; it may be back by then.
 constexpr std::chrono::milliseconds kAskAgain{250};
-// An answer from another zone takes as long.
+// Minimum block time; a response from another zone takes as long.
 constexpr std::chrono::milliseconds kLeastBar{5};
 
-/// Whether a request may go while nobody who counts has answered.
+/// Whether a request may be sent while no quota holder has answered.
 bool MayGoUncounted(Backend& backend, bool asked, const PermitAsker& asker, TimePoint now) {
   BackendWord& word = backend.notice_state;
   if (!asked && now - word.limited_since() < kNobodyCountsYet) return true;
--- a/libs/gateway/src/backend_prober.cc
+++ b/libs/gateway/src/backend_prober.cc
@@ -11,7 +11,7 @@
 namespace ridgehold {
 namespace {
 
-// Between looks whether a probe has ended; a probe takes 1 to 6 ms.
+// Polling interval for the end of a probe, which takes 1 to 6 ms.
 constexpr std::chrono::milliseconds kConfirmLook{2};
 
 }  // namespace
@@ -84,7 +84,7 @@
   if (reached) {
     BackendDirectory::RecordReachable(*backend);
   } else {
-    state_.pool().Forget(backend->entry.address);  // what is kept is as dead
+    state_.pool().Forget(backend->entry.address);  // idle pooled connections are broken as well
     state_.NoteUnreachable(*backend);
   }
   if (!changed) co_return;
--- a/libs/gateway/src/backend_word.cc
+++ b/libs/gateway/src/backend_word.cc
@@ -8,7 +8,7 @@
 namespace ridgehold {
 namespace {
 
-/// Of two words with one number the stricter holds.
+/// Of two updates with the same number, the stricter limit applies.
 bool IsStricter(const std::optional<RequestRate>& limit, const std::optional<RequestRate>& other) {
   return limit && (!other || *limit < *other);
 }
@@ -18,11 +18,11 @@
 bool BackendWord::TakeNotice(const BackendNotice& notice, TimePoint sent, TimePoint now) {
   heard_at_ = now;
   if (notice.rest) rest_until_ = std::max<TimePoint>(rest_until_, now + *notice.rest);
-  // It serves this gateway, whatever it says to others.
+  // The server accepts requests from this gateway, whatever back-offs it requests from others.
   if (!notice.rest && sent > others_heard_at_) others_.Clear();
   bool changed = notice.leaving && !leaving_;
   leaving_ = leaving_ || notice.leaving;
-  // An answer that was on its way when the limit was heard of says nothing of its end.
+  // A response to a request sent before the limit was known does not show that the limit has ended.
   const bool later = sent > known_at_;
   if (later && !notice.limit_unreadable && notice.limit != limit_) {
     SetLimit(notice.limit, now);
@@ -35,7 +35,7 @@
 }
 
 bool BackendWord::TakeNews(const BackendNews& news, TimePoint now) {
-  // That it leaves holds however old the news.
+  // A shutdown announcement is final, even in a stale update.
   const bool newly_leaving = news.leaving && !leaving_;
   leaving_ = leaving_ || news.leaving;
   if (newly_leaving) known_at_ = now;
@@ -60,7 +60,7 @@
 }
 
 bool BackendWord::BeginTelling(TimePoint now) {
-  // Less than the time from the first telling to the last.
+  // Shorter than the time over which the gossip repeats an update.
   constexpr std::chrono::milliseconds kTelling{400};
   if (told_from_ != TimePoint() && now - told_from_ < kTelling) return false;
   told_from_ = now;
@@ -70,7 +70,7 @@
 void BackendWord::SetLimit(const std::optional<RequestRate>& limit, TimePoint now) {
   if (!limit_) limited_since_ = now;
   limit_ = limit;
-  // What was refused a permit was refused it under the former limit.
+  // An earlier denial of a permit applied to the former limit.
   no_permit_until_ = {};
 }
 
--- a/libs/gateway/src/backend_words.cc
+++ b/libs/gateway/src/backend_words.cc
@@ -9,10 +9,11 @@
 namespace ridgehold {
 namespace {
 
-// Whoever counts stays ready for so long after a limit was last heard of.
+// How long quota holders are kept after a limit was last seen.
 constexpr std::chrono::seconds kCounted{60};
 constexpr std::size_t kMostNewTerms = 4'096;
-// What others were told does not bind this gateway: after so long it tries by itself.
+// Maximum time for which peers' back-offs deprioritize a server here. They do not bind this
+// gateway, which then tries again.
 constexpr std::chrono::milliseconds kLongestDoubt{5'000};
 
 void LogWord(const char* event, const Backend& backend) {
@@ -63,7 +64,7 @@
   if (!news.rest_left) return;
   const TimePoint until = now + std::min(*news.rest_left, kLongestDoubt);
   if (!backend.notice_state.NoteRestOfOther(gateway, until, now)) return;
-  Log(LogLevel::kInfo, "backend rests for others",
+  Log(LogLevel::kInfo, "backend deprioritized: two peers were asked to back off",
       {{"backend", backend.entry.id.value()},
        {"address", backend.entry.address},
        {"rest_ms", std::to_string(news.rest_left->count())}});
@@ -97,7 +98,8 @@
 void BackendWords::NoteChange(const Backend& backend, TimePoint now) {
   if (!backend.notice_state.limit()) return;
   counted_until_ = now + kCounted;
-  // Nobody takes them out where no share is held. Requests bring their terms along.
+  // Pending terms are not consumed while this gateway holds no quota share. They may be dropped,
+  // since each request carries its terms.
   if (new_terms_.size() >= kMostNewTerms) new_terms_.clear();
   new_terms_[SubjectFor(backend)] = TermsFor(backend);
   if (on_limit_) on_limit_();
--- a/libs/gateway/src/caller_connection.cc
+++ b/libs/gateway/src/caller_connection.cc
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr unsigned kHttp11 = 11;
-// A caller's next request keeps its socket readable, so a close behind it makes no
-// event. Looked for this often, it is noticed well within half a second.
+// A pipelined request keeps the socket readable, so a disconnect after it raises no event. Polling
+// at this interval detects it well within half a second.
 constexpr std::chrono::milliseconds kWatchPause{200};
 
 ReadOutcome Refused(ResultCode code, std::string detail = "") {
@@ -35,7 +35,7 @@
   return field != head.end() && boost::beast::iequals(field->value(), "100-continue");
 }
 
-/// Whether the other side has closed, also where bytes wait before the close.
+/// Whether the peer has closed the connection, even if unread bytes precede the close.
 bool HasClosed(int descriptor) {
   pollfd look{descriptor, POLLRDHUP, 0};
   return ::poll(&look, 1, 0) > 0;
@@ -70,7 +70,7 @@
   if (!timed_out_ && error) outcome = OutcomeOf(error);
   if (timed_out_ || error) co_return outcome;
   request_ = parser.release();
-  // Fields in a trailer are not fields of the request.
+  // Trailer fields must not be merged into the request's header fields.
   if (request_.chunked()) request_.base() = head_;
   close_after_ = !request_.keep_alive();
   outcome.kind = ReadOutcome::Kind::kRequest;
@@ -118,7 +118,7 @@
   limit_timer_.async_wait([self = shared_from_this(), generation](const ErrorCode& error) {
     if (error || generation != self->limit_generation_) return;
     self->timed_out_ = true;
-    // Pending reads end; the connection itself can still carry the refusal.
+    // Cancels pending reads only, so that the error response can still be sent.
     ErrorCode ignored;
     self->socket_.cancel(ignored);
   });
@@ -141,7 +141,7 @@
 
 void CallerConnection::OnReadable(const ErrorCode& error, std::uint64_t watch) {
   if (!watching_ || watch != watch_) return;
-  // More bytes are the next request; it is read when this one is answered.
+  // The bytes belong to the next request, which is read after this one is answered.
   if (!error && !CheckCallerGone()) return WatchAgainLater(watch);
   watching_ = false;
   caller_gone_ = true;
@@ -228,7 +228,7 @@
   if (!idle_ || buffer_.size() > 0 || !socket_.is_open()) return;
   char byte = 0;
   const auto read = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  // A request that has just arrived is still served.
+  // A request that has just arrived is still processed.
   if (read <= 0) Close();
 }
 
--- a/libs/gateway/src/gateway_state.cc
+++ b/libs/gateway/src/gateway_state.cc
@@ -98,7 +98,7 @@
 }
 
 net::awaitable<QuotaOutcome> GatewayState::AcquireQuota(QuotaDemand demand) {
-  // A quota that nobody counts lets nothing pass.
+  // Without a quota client no request is allowed.
   if (!quota_asker_.acquire) co_return QuotaOutcome();
   QuotaOutcome outcome = co_await quota_asker_.acquire(std::move(demand));
   co_return outcome;
@@ -172,7 +172,8 @@
 }
 
 std::uint32_t GatewayState::Uncovered(const Backend& backend, TimePoint now) {
-  // Another engine may be broken off at the same moment, or fail.
+  // Half of the budget is reserved for another engine that is interrupted or fails at the same
+  // time.
   constexpr double kForOneEngine = 0.5;
   const double covered = kForOneEngine * retries_.Left(backend.entry.service, now);
   const double resumable = backend.in_flight - std::min(backend.in_flight, backend.unrepeatable);
--- a/libs/gateway/src/poison_detector.cc
+++ b/libs/gateway/src/poison_detector.cc
@@ -23,7 +23,7 @@
   if (found == records_.end()) return false;
   Record& record = found->second;
   const bool any = record.counted() > 0 || now < record.until;
-  // The ends stay known: they may be told of once more.
+  // The crashes are kept because they may be reported again.
   record.forgiven = record.ends.size();
   record.until = TimePoint();
   return any;
@@ -70,7 +70,7 @@
   if (records_.size() < rule_.most_suspects) return;
   std::erase_if(records_, [&](const auto& entry) { return now >= ForgottenAt(entry.second); });
   if (records_.size() < rule_.most_suspects) return;
-  // A quarantine is worth more than a suspicion, and lasts longer anyway.
+  // Quarantines are kept in preference to suspicions; their later end time already ensures this.
   const auto oldest = std::ranges::min_element(records_, {}, [](const auto& entry) {
     return std::max(entry.second.last, entry.second.until);
   });
--- a/libs/gateway/src/poison_guard.cc
+++ b/libs/gateway/src/poison_guard.cc
@@ -11,7 +11,7 @@
 namespace ridgehold {
 namespace {
 
-// Fingerprints on one log line; an engine has up to some hundred requests.
+// Maximum number of fingerprints in a log line; an engine runs up to a few hundred requests.
 constexpr std::size_t kMostLogged = 16;
 
 std::string ListOf(std::span<const RequestFingerprint> requests) {
@@ -61,8 +61,8 @@
   Tell();
 }
 
-/// Whether the request is none after all: a server has survived it just now. Told where
-/// the others might decide otherwise.
+/// Clears a request at its last trial or in quarantine if a server has recently completed it, and
+/// reports this to peers, which might decide otherwise. Returns whether it was cleared.
 bool PoisonGuard::Forgive(RequestFingerprint request, TimePoint now) {
   const Suspicion suspicion = detector_.SuspicionOf(request, now);
   if (suspicion < Suspicion::kLastTrial || !survivors_.Contains(request, now)) return false;
@@ -72,8 +72,9 @@
   return true;
 }
 
-/// Returns whether there was anything against the request. What this gateway has written
-/// to the store, or read there, is to be erased: it would hold for all that start later.
+/// Clears the crashes counted against the request; returns whether there were any. A quarantine
+/// that this gateway wrote to the store or read from it is queued for deletion, as gateways that
+/// start later would apply it.
 bool PoisonGuard::Lift(RequestFingerprint request, TimePoint now) {
   const bool quarantined = detector_.SuspicionOf(request, now) == Suspicion::kQuarantined;
   const bool is_stored = decided_here_.contains(request) || from_store_.contains(request);
@@ -88,7 +89,7 @@
   const bool quarantined = detector_.SuspicionOf(request, now) == Suspicion::kQuarantined;
   if (!Lift(request, now)) return;
   if (quarantined) {
-    Log(LogLevel::kInfo, "quarantine lifted, a backend server survived the request",
+    Log(LogLevel::kInfo, "quarantine ended: a backend server completed the request",
         {{"fingerprint", ToText(request)}});
     NoteReleased(request);
   }
@@ -99,7 +100,7 @@
 bool PoisonGuard::Release(RequestFingerprint request, TimePoint now) {
   const bool quarantined = detector_.SuspicionOf(request, now) == Suspicion::kQuarantined;
   Lift(request, now);
-  Log(LogLevel::kInfo, "quarantine lifted by hand",
+  Log(LogLevel::kInfo, "quarantine released by operator",
       {{"fingerprint", ToText(request)}, {"quarantined", quarantined ? "yes" : "no"}});
   NoteReleased(request);
   news_.survived.push_back(request);
@@ -126,8 +127,8 @@
   }
 }
 
-/// Who tells of an end under a request that was quarantined here before has missed it: it
-/// has just started, and the store is away.
+/// Resends a quarantine decided here. A peer that reports a crash for the quarantined request has
+/// missed the quarantine: it has just started while the store was unavailable.
 void PoisonGuard::TellQuarantined(RequestFingerprint request, TimePoint now) {
   const bool quarantined = detector_.SuspicionOf(request, now) == Suspicion::kQuarantined;
   if (!quarantined || !DecidedHere(request)) return;
@@ -164,7 +165,7 @@
       {{"fingerprint", ToText(request)},
        {"ends", std::to_string(detector_.EndsOf(request))},
        {"source", source}});
-  // Copies that wait at engines would end these as soon as they are begun.
+  // Copies queued at engines would crash these when started.
   running_.WithdrawIf([&](RequestFingerprint running) { return running == request; });
 }
 
--- a/libs/gateway/src/refusal.cc
+++ b/libs/gateway/src/refusal.cc
@@ -17,7 +17,7 @@
     const double seconds = std::chrono::duration<double>(retry_after).count();
     answer.set(http::field::retry_after, fmt::format("{:.3f}", seconds));
   }
-  // OpenAI's client libraries retry any 5xx unless they are told not to.
+  // OpenAI's client libraries retry any 5xx response without this header.
   if (info.retry == RetryAdvice::kNever) answer.set("X-Should-Retry", "false");
   const std::string message =
       failure.detail.empty() ? std::string(info.explanation) : failure.detail;
--- a/libs/gateway/src/retry_allowance.cc
+++ b/libs/gateway/src/retry_allowance.cc
@@ -53,7 +53,7 @@
 double RetryAllowance::Left(const ServiceId& service, TimePoint now) {
   Counters& counters = counters_[service];
   const double earned = bound_.ratio * counters.requests.Sum(StepAt(now));
-  // A share below one retry would mean none at all in a large fleet.
+  // At least one retry: in a large fleet every share would round down to none.
   const double allowed = std::max(1.0, kUsedPart * (bound_.slack / MostGateways(now) + earned));
   auto& retries = counters.retries;
   while (!retries.empty() && now - retries.front() > CountedSpan()) retries.pop_front();
--- a/libs/gateway/test/admission-test.cc
+++ b/libs/gateway/test/admission-test.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A long prompt of a service whose shortest objective is 400 ms.
+/// A long prompt for a service whose shortest objective is 400 ms.
 AdmissionQuery LongPrompt() {
   AdmissionQuery query;
   query.own = 220ms;
@@ -25,7 +25,7 @@
 
 BOOST_AUTO_TEST_SUITE(admission)
 
-BOOST_AUTO_TEST_CASE(idle_engine_takes_every_request) {
+BOOST_AUTO_TEST_CASE(idle_engine_accepts_every_request) {
   AdmissionQuery query = LongPrompt();
   query.own = 5s;
   BOOST_TEST(kAdmission.MaySend(query));
@@ -33,7 +33,7 @@
   BOOST_TEST(kAdmission.MaySend(query));
 }
 
-BOOST_AUTO_TEST_CASE(engine_is_filled_up_to_the_shortest_objective) {
+BOOST_AUTO_TEST_CASE(engine_load_is_limited_by_the_shortest_objective) {
   AdmissionQuery query = LongPrompt();
   query.ahead = 130ms;
   BOOST_TEST(kAdmission.MaySend(query));
@@ -42,7 +42,7 @@
   BOOST_TEST(!kAdmission.MaySend(query));
 }
 
-BOOST_AUTO_TEST_CASE(short_prompt_finds_room_where_a_long_one_does_not) {
+BOOST_AUTO_TEST_CASE(short_prompt_is_admitted_where_a_long_one_is_not) {
   AdmissionQuery query = LongPrompt();
   query.ahead = 300ms;
   BOOST_TEST(!kAdmission.MaySend(query));
@@ -51,7 +51,7 @@
   BOOST_TEST(kAdmission.MaySend(query));
 }
 
-BOOST_AUTO_TEST_CASE(late_request_waits_until_nobody_is_delayed) {
+BOOST_AUTO_TEST_CASE(late_request_is_sent_only_to_a_lightly_loaded_engine) {
   AdmissionQuery query = LongPrompt();
   query.age = 600ms;
   query.ahead = 101ms;
@@ -60,14 +60,14 @@
   BOOST_TEST(kAdmission.MaySend(query));
 }
 
-BOOST_AUTO_TEST_CASE(no_request_waits_for_ever) {
+BOOST_AUTO_TEST_CASE(request_is_sent_after_maximum_wait) {
   AdmissionQuery query = LongPrompt();
   query.ahead = 10s;
   query.age = 1'800ms;
   BOOST_TEST(kAdmission.MaySend(query));
 }
 
-BOOST_AUTO_TEST_CASE(rule_is_off_by_its_setting_and_without_objectives) {
+BOOST_AUTO_TEST_CASE(admission_is_disabled_by_setting_or_without_objectives) {
   AdmissionQuery query = LongPrompt();
   query.ahead = 10s;
   AdmissionRule off;
@@ -77,7 +77,7 @@
   BOOST_TEST(kAdmission.MaySend(query));
 }
 
-RC_BOOST_PROP(less_before_a_request_never_keeps_it_back, ()) {
+RC_BOOST_PROP(less_queued_work_never_prevents_admission, ()) {
   AdmissionQuery query;
   query.ahead = std::chrono::milliseconds(*rc::gen::inRange(0, 2'000));
   query.own = std::chrono::milliseconds(*rc::gen::inRange(0, 2'000));
@@ -89,7 +89,7 @@
   RC_ASSERT(kAdmission.MaySend(query));
 }
 
-BOOST_AUTO_TEST_CASE(line_goes_by_lateness_urgency_and_arrival) {
+BOOST_AUTO_TEST_CASE(queue_orders_by_lateness_priority_and_arrival) {
   DeferredRequests line;
   std::vector<std::unique_ptr<DeferredRequests::Ticket>> others;
   DeferredRequests::Ticket first(line, 1);
--- a/libs/gateway/test/attempt_policy-test.cc
+++ b/libs/gateway/test/attempt_policy-test.cc
@@ -21,7 +21,7 @@
   return facts;
 }
 
-/// Any facts that can come about: runs and proofs agree with each other.
+/// Generates any reachable input: execution counts are consistent with the outcome.
 rc::Gen<AttemptFacts> AnyFacts() {
   return rc::gen::exec([] {
     AttemptFacts facts;
@@ -54,44 +54,44 @@
   BOOST_TEST((DecideNext(Answered(200, false, false)) == NextStep::kDeliver));
 }
 
-BOOST_AUTO_TEST_CASE(refusal_is_tried_elsewhere_for_every_kind) {
+BOOST_AUTO_TEST_CASE(rejection_is_retried_for_every_route_kind) {
   BOOST_TEST((DecideNext(Answered(503, true, false)) == NextStep::kTryAgain));
   BOOST_TEST((DecideNext(Answered(421, false, false)) == NextStep::kTryAgain));
 }
 
-BOOST_AUTO_TEST_CASE(failure_of_an_unsafe_request_is_delivered_and_of_a_safe_one_repeated) {
+BOOST_AUTO_TEST_CASE(error_is_delivered_for_an_unsafe_request_and_retried_for_a_safe_one) {
   BOOST_TEST((DecideNext(Answered(500, false, false)) == NextStep::kDeliver));
   BOOST_TEST((DecideNext(Answered(500, false, true)) == NextStep::kTryAgain));
 }
 
-BOOST_AUTO_TEST_CASE(overload_without_proof_fails_an_unsafe_request) {
+BOOST_AUTO_TEST_CASE(overload_without_proof_of_non_execution_fails_an_unsafe_request) {
   BOOST_TEST((DecideNext(Answered(503, false, false)) == NextStep::kFail));
 }
 
-RC_BOOST_PROP(never_sent_again_after_a_run_that_may_not_repeat, ()) {
+RC_BOOST_PROP(non_repeatable_request_is_never_resent_after_possible_execution, ()) {
   const AttemptFacts facts = *AnyFacts();
   RC_PRE(!facts.may_repeat && facts.may_have_run);
   RC_ASSERT(DecideNext(facts) != NextStep::kTryAgain);
 }
 
-RC_BOOST_PROP(not_run_is_said_only_when_it_is_proved, ()) {
+RC_BOOST_PROP(non_execution_is_reported_only_with_proof, ()) {
   const AttemptFacts facts = *AnyFacts();
   if (DecideNext(facts) == NextStep::kRefuse) RC_ASSERT(!facts.may_have_run);
 }
 
-RC_BOOST_PROP(delivered_status_never_promises_what_is_not_proved, ()) {
+RC_BOOST_PROP(delivered_status_never_implies_non_execution, ()) {
   const AttemptFacts facts = *AnyFacts();
   if (DecideNext(facts) != NextStep::kDeliver) return;
   for (const int promise : {408, 421, 429, 503}) RC_ASSERT(facts.status != promise);
   if (facts.status < 400) RC_ASSERT(facts.has_signature);
 }
 
-RC_BOOST_PROP(runs_stay_within_the_routes_limit, ()) {
+RC_BOOST_PROP(executions_stay_within_the_route_limit, ()) {
   const AttemptFacts facts = *AnyFacts();
   if (DecideNext(facts) == NextStep::kTryAgain) RC_ASSERT(facts.runs < facts.max_runs);
 }
 
-RC_BOOST_PROP(begun_stream_ends_whole_or_is_broken_off, ()) {
+RC_BOOST_PROP(started_stream_completes_or_is_aborted, ()) {
   const AttemptFacts facts = *AnyFacts();
   RC_PRE(facts.stream_begun);
   const NextStep step = DecideNext(facts);
--- a/libs/gateway/test/backend_word-test.cc
+++ b/libs/gateway/test/backend_word-test.cc
@@ -1,4 +1,4 @@
-// What a backend server asks for, as gateways hear it from answers and from each other.
+// Tests of backend server pushback received from responses and from peers.
 
 #include "gateway/backend_word.h"
 
@@ -41,7 +41,7 @@
 
 BOOST_AUTO_TEST_SUITE(backend_word)
 
-BOOST_AUTO_TEST_CASE(limit_is_told_once_and_ends_with_an_answer_that_names_none) {
+BOOST_AUTO_TEST_CASE(limit_is_shared_once_and_ends_with_a_response_without_limit) {
   BackendWord word;
   BOOST_TEST(word.TakeNotice(Limit(1.5), kStart, kStart + 10ms));
   BOOST_TEST(!word.TakeNotice(Limit(1.5), kStart + 20ms, kStart + 30ms));
@@ -50,15 +50,15 @@
   BOOST_TEST(!word.limit().has_value());
 }
 
-// Answers overtake each other: one that was made before the limit says nothing of its end.
-BOOST_AUTO_TEST_CASE(answer_to_a_request_sent_before_the_limit_was_known_does_not_end_it) {
+// Guards against reordered responses: one generated before the limit was set must not end it.
+BOOST_AUTO_TEST_CASE(response_to_a_request_sent_before_the_limit_does_not_end_it) {
   BackendWord word;
   word.TakeNotice(Limit(1.5), kStart, kStart + 10ms);
   BOOST_TEST(!word.TakeNotice({}, kStart + 5ms, kStart + 400ms));
   BOOST_TEST(word.limit().has_value());
 }
 
-BOOST_AUTO_TEST_CASE(limit_that_cannot_be_read_changes_nothing) {
+BOOST_AUTO_TEST_CASE(malformed_limit_is_ignored) {
   BackendWord word;
   word.TakeNotice(Limit(1.5), kStart, kStart + 10ms);
   BackendNotice unreadable;
@@ -67,7 +67,7 @@
   BOOST_TEST((word.limit() == RequestRate::Of(1.5)));
 }
 
-BOOST_AUTO_TEST_CASE(later_word_holds_in_whatever_order_news_come) {
+BOOST_AUTO_TEST_CASE(newest_update_wins_in_any_order) {
   BackendWord teller;
   teller.TakeNotice(Limit(1.5), kStart, kStart + 10ms);
   const BackendNews first = teller.News(kBackend);
@@ -75,13 +75,13 @@
   const BackendNews second = teller.News(kBackend);
   BackendWord listener;
   BOOST_TEST(!listener.TakeNews(second, kStart));
-  // Whoever tells of the first knows less.
+  // The sender of the first update has older state.
   BOOST_TEST(listener.TakeNews(first, kStart));
   BOOST_TEST((listener.limit() == RequestRate::Of(3)));
   BOOST_TEST(!listener.TakeNews(second, kStart));
 }
 
-BOOST_AUTO_TEST_CASE(of_two_words_with_one_number_all_take_the_stricter) {
+BOOST_AUTO_TEST_CASE(stricter_limit_wins_for_equal_numbers) {
   const BackendNews high{kBackend, 1, RequestRate::Of(3), false, {}};
   const BackendNews low{kBackend, 1, RequestRate::Of(2), false, {}};
   for (const auto& order : {std::vector{high, low}, std::vector{low, high}}) {
@@ -91,17 +91,17 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(rest_bars_until_its_end_and_a_shorter_one_does_not_end_it) {
+BOOST_AUTO_TEST_CASE(backoff_blocks_until_its_end_and_is_not_shortened) {
   BackendWord word;
   word.TakeNotice(Rest(3s), kStart, kStart);
   word.TakeNotice(Rest(200ms), kStart + 1s, kStart + 1s);
   BOOST_TEST(word.Bars(kStart + 2'999ms));
   BOOST_TEST(!word.Bars(kStart + 3s));
-  // Asked of this gateway only.
+  // A back-off applies to this gateway only.
   BOOST_TEST(word.News(kBackend).number == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(server_is_doubted_while_the_rests_of_two_others_last) {
+BOOST_AUTO_TEST_CASE(server_is_deprioritized_while_two_peers_back_off) {
   BackendWord word;
   BOOST_TEST(!word.NoteRestOfOther(1, kStart + 3s, kStart));
   BOOST_TEST(!word.NoteRestOfOther(1, kStart + 4s, kStart));
@@ -109,21 +109,21 @@
   BOOST_TEST(word.NoteRestOfOther(2, kStart + 2s, kStart));
   BOOST_TEST(!word.NoteRestOfOther(3, kStart + 1s, kStart));
   BOOST_TEST((word.doubted_until() == kStart + 2s));
-  // It is not barred: who has no other server tries it.
+  // It is not blocked: a gateway without another server still uses it.
   BOOST_TEST(!word.Bars(kStart));
 }
 
-BOOST_AUTO_TEST_CASE(answer_that_asks_for_no_rest_ends_the_doubt) {
+BOOST_AUTO_TEST_CASE(response_without_backoff_ends_deprioritization) {
   BackendWord word;
   for (const std::uint64_t other : {1, 2}) word.NoteRestOfOther(other, kStart + 3s, kStart);
-  // It was sent before this gateway heard of the rests.
+  // The request was sent before this gateway learned of the back-offs.
   word.TakeNotice({}, kStart - 10ms, kStart + 10ms);
   BOOST_TEST((word.doubted_until() == kStart + 3s));
   word.TakeNotice({}, kStart + 20ms, kStart + 30ms);
   BOOST_TEST((word.doubted_until() <= kStart));
 }
 
-/// One backend server's words at a gateway.
+/// Registry with one backend server.
 struct WordsOfOne {
   BackendDirectory directory;
   BackendWords words{directory};
@@ -140,7 +140,7 @@
   }
 };
 
-BOOST_FIXTURE_TEST_CASE(rest_is_told_with_what_is_left_of_it, WordsOfOne) {
+BOOST_FIXTURE_TEST_CASE(backoff_is_shared_with_its_remaining_time, WordsOfOne) {
   const BackendNewsList news = Turned(kStart);
   BOOST_REQUIRE(news.items.size() == 1U);
   BOOST_TEST((news.items.front().rest_left == 3'000ms));
@@ -148,17 +148,17 @@
   BOOST_TEST(!words.Refreshed(news, kStart + 3s).items.front().rest_left.has_value());
 }
 
-BOOST_FIXTURE_TEST_CASE(rest_that_two_others_were_asked_for_is_not_told, WordsOfOne) {
+BOOST_FIXTURE_TEST_CASE(backoff_known_from_two_peers_is_not_shared, WordsOfOne) {
   BackendNews news = backend->notice_state.News(HashOf(*backend));
   news.rest_left = 60s;
   for (const std::uint64_t other : {1, 2}) words.Take({{news}}, other, kStart);
   BOOST_TEST(IsAvoided(*backend, kStart));
   BOOST_TEST(Turned(kStart + 1s).empty());
-  // However long a rest the others were asked for, this gateway tries again.
+  // This gateway tries again after 5 s, however long the peers' back-offs are.
   BOOST_TEST(!IsAvoided(*backend, kStart + 5s));
 }
 
-BOOST_AUTO_TEST_CASE(refused_permit_bars_until_there_may_be_one_or_the_limit_changes) {
+BOOST_AUTO_TEST_CASE(denied_permit_blocks_until_retry_time_or_limit_change) {
   BackendWord word;
   word.TakeNotice(Limit(1.5), kStart, kStart);
   word.NoteNoPermit(kStart + 800ms);
@@ -168,7 +168,7 @@
   BOOST_TEST(!word.Bars(kStart + 120ms));
 }
 
-BOOST_AUTO_TEST_CASE(leaving_ends_with_the_process_only) {
+BOOST_AUTO_TEST_CASE(shutdown_announcement_lasts_until_the_process_ends) {
   BackendDirectory directory;
   BackendEntry entry = Entry("x");
   entry.started = StartStamp(5);
@@ -179,11 +179,11 @@
   BOOST_TEST(backend->notice_state.TakeNotice(leaving, kStart, kStart));
   backend->notice_state.TakeNotice({}, kStart + 1s, kStart + 1s);
   BOOST_TEST(directory.Usable(ServiceId("s"), kStart).empty());
-  // Its entry lapses and comes back, as after an outage of the store.
+  // Its registration expires and returns, as after a store outage.
   directory.Remove(BackendId("x"), Duration::zero(), kStart);
   directory.Put(entry);
   BOOST_TEST(directory.Usable(ServiceId("s"), kStart).empty());
-  // Another process at the address, and a later start under the id.
+  // Another process at the same address, and a later incarnation with the same id.
   BackendEntry other = Entry("y");
   other.address = "x:1";
   directory.Put(other);
@@ -193,7 +193,7 @@
   BOOST_TEST(directory.Usable(ServiceId("s"), kStart).size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(limit_that_changes_with_each_answer_is_told_a_few_times_a_second) {
+BOOST_AUTO_TEST_CASE(limit_that_changes_in_each_response_is_shared_a_few_times_per_second) {
   BackendDirectory directory;
   directory.Put(Entry("x"));
   const BackendPtr backend = directory.Find(BackendId("x"));
@@ -206,18 +206,18 @@
     told += static_cast<int>(news.items.size());
   }
   BOOST_TEST(told <= 3);
-  // What is told again is the last word.
+  // A repeated update carries the latest state.
   const BackendNewsList again =
       words.Refreshed({{{HashOf(*backend), 1, {}, false, {}}}}, kStart + 1s);
   BOOST_REQUIRE(again.items.size() == 1U);
   BOOST_TEST((again.items.front().limit == RequestRate::Of(1 + 999 / 100.0)));
 }
 
-// Without anybody who counts, gateways that cannot hear from each other keep to a part of
-// the limit together, whatever each has to send.
-BOOST_AUTO_TEST_CASE(uncounted_requests_stay_within_what_is_left_beside_those_counted) {
+// Without a quota holder, gateways that cannot reach each other together stay within a fraction of
+// the limit, whatever their load.
+BOOST_AUTO_TEST_CASE(fallback_requests_stay_within_the_reserved_fraction) {
   constexpr int kTurns = 5'000;
-  constexpr int kWindow = 5;  // turns that 4 s can touch
+  constexpr int kWindow = 5;  // slots that a 4 s window can overlap
   for (const std::uint32_t gateways : {8U, 90U, 300U}) {
     for (const double limit : {0.2, 1.2, 12.0}) {
       std::vector<int> sent(kTurns);
@@ -226,7 +226,7 @@
         word.TakeNotice(Limit(limit), kStart, kStart);
         for (int turn = 0; turn < kTurns; ++turn) {
           const TimePoint now = kStart + turn * 1s;
-          // One a turn, however many it has to send.
+          // At most one request per slot, however many are pending.
           if (word.TakeUncounted(kBackend, gateway, gateways, now)) ++sent[turn];
           BOOST_REQUIRE(!word.TakeUncounted(kBackend, gateway, gateways, now + 1ms));
         }
--- a/libs/gateway/test/event_relay-test.cc
+++ b/libs/gateway/test/event_relay-test.cc
@@ -16,7 +16,7 @@
 
 BOOST_AUTO_TEST_SUITE(event_relay)
 
-BOOST_AUTO_TEST_CASE(event_is_passed_on_as_it_came_once_it_is_whole) {
+BOOST_AUTO_TEST_CASE(complete_event_is_forwarded_unmodified) {
   EventRelay relay(std::nullopt);
   BOOST_TEST(relay.Take("x-weight: 3\r\nid: 1\r\ndata: a\r\n").empty());
   BOOST_TEST(relay.incomplete());
@@ -24,17 +24,17 @@
   BOOST_TEST(relay.last_event().value() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(events_without_a_number_are_passed_on) {
+BOOST_AUTO_TEST_CASE(events_without_a_number_are_forwarded) {
   EventRelay relay(std::nullopt);
   BOOST_TEST(relay.Take("data: a\n\ndata: b\n\n") == "data: a\n\ndata: b\n\n");
 }
 
-BOOST_AUTO_TEST_CASE(events_the_caller_has_are_dropped) {
+BOOST_AUTO_TEST_CASE(events_already_received_are_dropped) {
   EventRelay relay(4);
   BOOST_TEST(relay.Take(Event(4) + Event(5)) == Event(5));
 }
 
-RC_BOOST_PROP(each_event_passes_once_in_order_whatever_breaks, ()) {
+RC_BOOST_PROP(each_event_is_forwarded_once_in_order_despite_interruptions, ()) {
   const int total = *rc::gen::inRange(1, 30);
   EventRelay relay(std::nullopt);
   std::string passed;
@@ -42,8 +42,8 @@
   constexpr int kMostBreaks = 10;
   for (int attempt = 0; done < total; ++attempt) {
     relay.StartAttempt();
-    // An attempt resumes after the last event, may tell some again, and may
-    // break anywhere.
+    // An attempt resumes after the last event, may repeat some events, and may be interrupted
+    // anywhere.
     const int from = std::max(1, done + 1 - *rc::gen::inRange(0, 3));
     std::string bytes;
     for (int i = from; i <= total; ++i) bytes += Event(i);
--- a/libs/gateway/test/poison_crowd.cc
+++ b/libs/gateway/test/poison_crowd.cc
@@ -20,14 +20,14 @@
 const TimePoint kStart{1h};
 constexpr Duration kLength = 60s;
 constexpr int kGateways = 8;
-constexpr int kRunning = 8;  // at a server, on average
+constexpr int kRunning = 8;  // requests at a server, on average
 constexpr Duration kMeanRun = 700ms;
 constexpr Duration kNewsWay = 6ms;
-constexpr Duration kConfirm = 13ms;  // until a request that broke off is sent on
+constexpr Duration kConfirm = 13ms;  // delay before an interrupted request is retried
 constexpr Duration kCallerPause = 200ms;
-constexpr Duration kBack = 3s;  // until an ended server is replaced
+constexpr Duration kBack = 3s;  // delay before a crashed server is replaced
 constexpr Duration kFatalAfter = 110ms;
-constexpr int kAtOnce = 3;  // copies of a poison request at the same moment
+constexpr int kAtOnce = 3;  // concurrent copies of a poison request
 constexpr int kSends = 2;
 constexpr int kTries = 2;
 constexpr double kPopularPart = 0.1;
@@ -37,7 +37,7 @@
 constexpr std::uint64_t kFirstOther = 1'000;
 
 struct Server {
-  BackendPtr backend;  ///< the process; null: none
+  BackendPtr backend;  ///< current process; null if crashed
   std::set<std::size_t> requests;
 };
 
@@ -46,7 +46,7 @@
   std::size_t gateway = 0;
   int sends = 0;
   int tries = 1;
-  std::uint64_t run = 0;  ///< rises, so that the end of an earlier run is told from it
+  std::uint64_t run = 0;  ///< incremented, to distinguish the end of an earlier run
 };
 
 class Crowd {
@@ -200,7 +200,7 @@
     After(kBack, [this, &server] { server.backend = MakeBackend(); });
   }
 
-  /// The caller tries once more, at any gateway.
+  /// The client retries at a random gateway.
   void TryAgain(std::size_t number) {
     if (requests_[number].tries >= kTries) return;
     After(kCallerPause, [this, number] {
@@ -218,7 +218,7 @@
     return guard;
   }
 
-  /// Sends what there is after a moment, as the gossip does.
+  /// Sends pending updates after a short delay, as the gossip does.
   void Tell(std::size_t from) {
     if (!telling_.insert(from).second) return;
     After(1ms, [this, from] {
--- a/libs/gateway/test/poison_crowd.h
+++ b/libs/gateway/test/poison_crowd.h
@@ -1,5 +1,5 @@
-// Many requests, several gateways and failing servers in virtual time, for the decision who
-// ends servers.
+// Virtual-time simulation of requests, gateways and failing servers for tests of poison request
+// detection.
 
 #pragma once
 
@@ -10,14 +10,14 @@
 
 namespace ridgehold::test {
 
-/// Why servers end besides poison requests.
+/// Cause of server crashes other than poison requests.
 enum class Trouble : std::uint8_t {
   kNone,
-  kCrashes,   ///< each about every 30 s
-  kRelease,   ///< all in turn without a drain, each once the one before is back, or several
-  kCascade,   ///< a small fleet's within two seconds of each other, a large one's one each 0.5 s
-  kZoneLost,  ///< a third of them at once, at two moments
-  kFlapping,  ///< a quarter of them, every 4 s
+  kCrashes,   ///< independent, each server every 30 s on average
+  kRelease,   ///< rolling release without draining, one server or several at a time
+  kCascade,   ///< all servers sequentially at intervals of 0.5 s, twice
+  kZoneLost,  ///< a third of them simultaneously, twice
+  kFlapping,  ///< a quarter of them, each every 4 s on average
 };
 
 std::string_view NameOf(Trouble trouble);
@@ -25,24 +25,24 @@
 struct CrowdPlan {
   int servers = 9;
   Trouble trouble = Trouble::kNone;
-  /// Contents that end each server that begins them; three copies at once, each
-  /// second for 15 s.
+  /// Number of distinct requests that crash each server that starts them; three concurrent copies
+  /// of each are sent every second for 15 s.
   int poison_requests = 0;
   PoisonRule rule;
   std::uint64_t seed = 1;
 };
 
 struct CrowdOutcome {
-  std::uint64_t sound = 0;              ///< sound requests, without their retries
-  std::uint64_t refused = 0;            ///< of them, refused as poison though a server is there
-  std::uint64_t refused_in_outage = 0;  ///< the same while all servers are gone
-  std::uint64_t ends = 0;               ///< of servers, for any reason
-  std::uint64_t most_ends_by_one = 0;   ///< under one poison request
+  std::uint64_t sound = 0;              ///< innocent requests, without retries
+  std::uint64_t refused = 0;            ///< of these, rejected as poison while a server is alive
+  std::uint64_t refused_in_outage = 0;  ///< of these, rejected as poison while no server is alive
+  std::uint64_t ends = 0;               ///< server crashes for any reason
+  std::uint64_t most_ends_by_one = 0;   ///< maximum number of crashes by one poison request
 };
 
-/// A minute with eight gateways, which hear of each other's ends after 6 ms. Requests run
-/// 0.7 s on average, eight at a server; a tenth of them has one of five contents that many
-/// callers send. Each is sent to two servers at most, and its caller tries twice.
+/// Simulates one minute with eight gateways, which receive each other's crash reports after 6 ms.
+/// Requests run for 0.7 s on average, eight at a server; a tenth of them have one of five contents
+/// that many clients send. Each is sent to at most two servers, and its client tries twice.
 CrowdOutcome PlayCrowd(const CrowdPlan& plan);
 
 }  // namespace ridgehold::test
--- a/libs/gateway/test/poison_detector-test.cc
+++ b/libs/gateway/test/poison_detector-test.cc
@@ -14,7 +14,7 @@
 const RequestFingerprint kRequest(7);
 constexpr PoisonRule kRule;
 
-/// Three backend servers end under the request, told at `kStart`.
+/// Detector to which three crashes under the request were reported at `kStart`.
 PoisonDetector Quarantining() {
   PoisonDetector detector(kRule);
   for (const BackendHash backend : {1, 2, 3}) detector.TakeEnd(kRequest, backend, kStart);
@@ -25,7 +25,7 @@
 
 BOOST_AUTO_TEST_SUITE(poison_detector)
 
-BOOST_AUTO_TEST_CASE(third_server_that_ends_decides) {
+BOOST_AUTO_TEST_CASE(third_crash_quarantines) {
   PoisonDetector detector(kRule);
   BOOST_TEST((detector.SuspicionOf(kRequest, kStart) == Suspicion::kNone));
   BOOST_TEST(!detector.TakeEnd(kRequest, 1, kStart));
@@ -37,33 +37,33 @@
   BOOST_TEST((detector.SuspicionOf(RequestFingerprint(8), kStart) == Suspicion::kNone));
 }
 
-BOOST_AUTO_TEST_CASE(end_that_several_gateways_tell_counts_once) {
+BOOST_AUTO_TEST_CASE(crash_reported_by_several_gateways_counts_once) {
   PoisonDetector detector(kRule);
   for (int i = 0; i < 9; ++i) BOOST_TEST(!detector.TakeEnd(kRequest, 1, kStart));
   BOOST_TEST(detector.EndsOf(kRequest) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(run_that_a_server_survives_clears_the_request) {
+BOOST_AUTO_TEST_CASE(successful_run_clears_the_request) {
   PoisonDetector detector(kRule);
   detector.TakeEnd(kRequest, 1, kStart);
   detector.TakeEnd(kRequest, 2, kStart);
   BOOST_TEST(detector.TakeSurvived(kRequest, kStart));
   BOOST_TEST(!detector.TakeSurvived(kRequest, kStart));
   BOOST_TEST((detector.SuspicionOf(kRequest, kStart) == Suspicion::kNone));
-  // News of an end that came before is told again, and counts no more.
+  // A repeated report of an earlier crash does not count.
   detector.TakeEnd(kRequest, 1, kStart);
   BOOST_TEST(detector.EndsOf(kRequest) == 0U);
   BOOST_TEST(!detector.TakeEnd(kRequest, 3, kStart));
   BOOST_TEST(detector.EndsOf(kRequest) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(copy_that_ends_well_lifts_the_quarantine) {
+BOOST_AUTO_TEST_CASE(successful_copy_ends_the_quarantine) {
   PoisonDetector detector = Quarantining();
   BOOST_TEST(detector.TakeSurvived(kRequest, kStart + 1s));
   BOOST_TEST((detector.SuspicionOf(kRequest, kStart + 1s) == Suspicion::kNone));
 }
 
-BOOST_AUTO_TEST_CASE(after_the_quarantine_one_more_end_is_enough) {
+BOOST_AUTO_TEST_CASE(one_crash_after_quarantine_quarantines_again) {
   PoisonDetector detector = Quarantining();
   const TimePoint over = kStart + kRule.quarantine;
   BOOST_TEST((detector.SuspicionOf(kRequest, over - 1ms) == Suspicion::kQuarantined));
@@ -72,7 +72,7 @@
   BOOST_TEST((detector.SuspicionOf(kRequest, over) == Suspicion::kQuarantined));
 }
 
-BOOST_AUTO_TEST_CASE(request_that_was_cured_is_served_like_any_other) {
+BOOST_AUTO_TEST_CASE(request_that_succeeds_after_quarantine_is_not_suspect) {
   PoisonDetector detector = Quarantining();
   const TimePoint over = kStart + kRule.quarantine;
   BOOST_TEST(detector.TakeSurvived(kRequest, over));
@@ -81,7 +81,7 @@
   BOOST_TEST((Quarantining().SuspicionOf(kRequest, forgotten) == Suspicion::kNone));
 }
 
-BOOST_AUTO_TEST_CASE(quarantine_of_others_lasts_as_long_as_they_say) {
+BOOST_AUTO_TEST_CASE(quarantine_from_peers_lasts_for_the_given_time) {
   PoisonDetector detector(kRule);
   BOOST_TEST(detector.TakeQuarantine(kRequest, 20s, kStart));
   BOOST_TEST(!detector.TakeQuarantine(kRequest, 20s, kStart + 1s));
@@ -90,7 +90,7 @@
   BOOST_TEST(detector.Quarantined(kStart).size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(memory_is_bounded_and_keeps_quarantines_longest) {
+BOOST_AUTO_TEST_CASE(memory_is_bounded_and_retains_quarantines_longest) {
   PoisonRule rule;
   rule.most_suspects = 100;
   PoisonDetector detector(rule);
@@ -102,7 +102,7 @@
   BOOST_TEST((detector.SuspicionOf(kRequest, kStart + 10s) == Suspicion::kQuarantined));
 }
 
-BOOST_AUTO_TEST_CASE(switched_off_it_suspects_nobody) {
+BOOST_AUTO_TEST_CASE(disabled_detector_suspects_no_request) {
   PoisonRule rule;
   rule.most_ends = 0;
   PoisonDetector detector(rule);
@@ -112,7 +112,7 @@
   BOOST_TEST((detector.SuspicionOf(kRequest, kStart) == Suspicion::kNone));
 }
 
-BOOST_AUTO_TEST_CASE(break_and_end_belong_together_in_either_order_within_seconds) {
+BOOST_AUTO_TEST_CASE(interruption_and_crash_are_matched_in_either_order_within_seconds) {
   BrokenAttempts broken;
   BOOST_TEST(!broken.Note(1, kRequest, kStart));
   BOOST_TEST(!broken.Note(2, RequestFingerprint(8), kStart));
@@ -125,13 +125,14 @@
   BOOST_TEST(!broken.Note(1, RequestFingerprint(9), kStart + 10s));
 }
 
-// A crowd of sound requests, each with its retries, and fleets whose servers end for many
-// reasons. What is judged: the part of sound requests that are refused as poison, and how
-// many servers one poison request ends, copies running side by side included.
+// Simulated innocent requests with retries, and fleets whose servers crash for various reasons.
+// Checks the fraction of innocent requests rejected as poison, and the number of servers that one
+// poison request crashes, including by concurrent copies.
 
 namespace {
 
-/// Small fleets are played with several seeds, so that each has some ten thousand requests.
+/// Small fleets are simulated with several seeds, so that each run has more than ten thousand
+/// requests.
 CrowdOutcome PlayFleet(CrowdPlan plan) {
   const int seeds = plan.servers < 10 ? 40 / plan.servers : 1;
   CrowdOutcome all;
@@ -155,29 +156,29 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(few_sound_requests_are_taken_for_poison) {
+BOOST_AUTO_TEST_CASE(few_innocent_requests_are_taken_for_poison) {
   for (const int servers : {4, 9, 60, 240}) {
     for (const Trouble trouble :
          {Trouble::kCrashes, Trouble::kRelease, Trouble::kZoneLost, Trouble::kFlapping}) {
       const CrowdOutcome outcome = PlayFleet({.servers = servers, .trouble = trouble});
       BOOST_TEST(outcome.sound > 10'000U);
       BOOST_TEST(outcome.ends > 0U);
-      // Such a request has seen three servers end, so its caller has waited for seconds.
+      // Such a request was running at three crashes, so its client has already waited for seconds.
       BOOST_TEST(outcome.refused * 5'000 <= outcome.sound);
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(outage_of_a_small_fleet_makes_few_mistakes) {
+BOOST_AUTO_TEST_CASE(outage_of_a_small_fleet_causes_few_false_positives) {
   for (const int servers : {4, 9}) {
     const CrowdOutcome outcome = PlayFleet({.servers = servers, .trouble = Trouble::kCascade});
     BOOST_TEST(outcome.refused * 900 <= outcome.sound);
-    // Nobody could have served these; they are refused at once either way.
+    // No server could have served these; they would be rejected immediately in any case.
     BOOST_TEST(outcome.refused_in_outage * 500 <= outcome.sound);
   }
 }
 
-BOOST_AUTO_TEST_CASE(poison_request_ends_few_servers_whatever_the_fleet) {
+BOOST_AUTO_TEST_CASE(poison_request_crashes_few_servers_in_any_fleet) {
   for (const int servers : {4, 9, 60, 240}) {
     const CrowdOutcome outcome =
         PlayFleet({.servers = servers, .trouble = Trouble::kNone, .poison_requests = 3});
@@ -187,7 +188,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(poison_among_other_troubles_is_still_found) {
+BOOST_AUTO_TEST_CASE(poison_is_detected_among_other_crashes) {
   for (const Trouble trouble : {Trouble::kCrashes, Trouble::kZoneLost, Trouble::kFlapping}) {
     const CrowdOutcome outcome =
         PlayFleet({.servers = 9, .trouble = trouble, .poison_requests = 3});
@@ -196,7 +197,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(without_the_rule_poison_ends_server_after_server) {
+BOOST_AUTO_TEST_CASE(without_detection_poison_crashes_many_servers) {
   CrowdPlan plan{.servers = 9, .trouble = Trouble::kNone, .poison_requests = 1};
   plan.rule.most_ends = 0;
   BOOST_TEST(PlayCrowd(plan).most_ends_by_one > 20U);
--- a/libs/gateway/test/poison_guard-test.cc
+++ b/libs/gateway/test/poison_guard-test.cc
@@ -20,7 +20,7 @@
   Metrics metrics;
   PoisonGuard guard{metrics, PoisonRule{}};
 
-  /// Backend servers with these names end under the request.
+  /// The backend servers with these names crash while running the request.
   void End(std::initializer_list<const char*> names, TimePoint now = kStart) {
     for (const char* name : names) {
       const Backend backend = BackendNamed(name);
@@ -36,7 +36,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(poison_guard, Fixture)
 
-BOOST_AUTO_TEST_CASE(broken_connection_alone_is_held_against_nobody) {
+BOOST_AUTO_TEST_CASE(interrupted_connection_alone_raises_no_suspicion) {
   for (const char* name : {"a", "b", "c", "d"}) {
     guard.NoteBroken(BackendNamed(name), kRequest, kStart);
   }
@@ -44,7 +44,7 @@
   BOOST_TEST(guard.TakeNews().empty());
 }
 
-BOOST_AUTO_TEST_CASE(ends_are_told_and_reach_the_same_verdict_elsewhere) {
+BOOST_AUTO_TEST_CASE(crash_reports_lead_to_the_same_verdict_at_peers) {
   End({"a", "b", "c"});
   BOOST_TEST((Believed() == Suspicion::kQuarantined));
   const PoisonNews news = guard.TakeNews();
@@ -59,7 +59,7 @@
   BOOST_TEST(guard.DecidedHere(kRequest));
 }
 
-BOOST_AUTO_TEST_CASE(ends_seen_by_different_gateways_add_up) {
+BOOST_AUTO_TEST_CASE(crashes_seen_by_different_gateways_add_up) {
   PoisonGuard other(metrics, PoisonRule{});
   End({"a", "b"});
   const Backend third = BackendNamed("c");
@@ -69,7 +69,7 @@
   BOOST_TEST((Believed() == Suspicion::kQuarantined));
 }
 
-BOOST_AUTO_TEST_CASE(copies_that_wait_at_backend_servers_are_withdrawn) {
+BOOST_AUTO_TEST_CASE(copies_queued_at_backend_servers_are_cancelled) {
   std::optional<PoisonGuard::Ticket> ticket;
   std::optional<PoisonGuard::Ticket> other;
   int withdrawn = 0;
@@ -82,14 +82,14 @@
   BOOST_TEST(withdrawn == 1);
 }
 
-BOOST_AUTO_TEST_CASE(request_that_was_served_just_now_is_not_the_cause) {
+BOOST_AUTO_TEST_CASE(recently_successful_request_is_not_the_cause) {
   guard.NoteSurvived(kRequest, kStart - 1s);
   End({"a", "b", "c"});
   BOOST_TEST((Believed() == Suspicion::kSuspect));
   BOOST_TEST(!guard.TakeNews().survived.empty());
 }
 
-BOOST_AUTO_TEST_CASE(gateway_that_saw_it_served_corrects_the_others) {
+BOOST_AUTO_TEST_CASE(gateway_that_saw_a_success_corrects_its_peers) {
   PoisonGuard other(metrics, PoisonRule{});
   other.NoteSurvived(kRequest, kStart - 1s);
   End({"a", "b", "c"});
@@ -99,7 +99,7 @@
   BOOST_TEST((Believed() == Suspicion::kNone));
 }
 
-BOOST_AUTO_TEST_CASE(release_by_hand_holds_everywhere_and_is_erased_in_the_store) {
+BOOST_AUTO_TEST_CASE(manual_release_applies_everywhere_and_is_deleted_from_the_store) {
   PoisonGuard other(metrics, PoisonRule{});
   End({"a", "b", "c"});
   other.Take(guard.TakeNews(), kStart);
@@ -110,9 +110,10 @@
   BOOST_TEST((other.SuspicionOf(kRequest, kStart) == Suspicion::kNone));
 }
 
-// The one that had decided wrote the store a few ms before it was corrected; the key stayed,
-// and the sound request was refused for ten minutes.
-BOOST_AUTO_TEST_CASE(correction_after_the_verdict_was_stored_erases_it) {
+// Guards against a stale quarantine in the store: the deciding gateway stores its verdict a few ms
+// before a peer corrects it. If the key is not deleted, an innocent request is rejected for ten
+// minutes.
+BOOST_AUTO_TEST_CASE(correction_deletes_a_stored_verdict) {
   End({"a", "b", "c"});
   BOOST_REQUIRE(guard.DecidedHere(kRequest));
   PoisonNews correction;
@@ -123,14 +124,14 @@
   BOOST_TEST(released.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(stored_verdict_on_what_was_served_just_now_is_erased) {
+BOOST_AUTO_TEST_CASE(stored_verdict_on_a_recently_successful_request_is_deleted) {
   guard.NoteSurvived(kRequest, kStart);
   guard.TakeStored(kRequest, 5min, kStart + 1s);
   BOOST_TEST((Believed(kStart + 1s) == Suspicion::kNone));
   BOOST_TEST(guard.TakeReleased().size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(gateway_that_missed_the_verdict_hears_it_after_one_end_more) {
+BOOST_AUTO_TEST_CASE(gateway_that_missed_a_verdict_receives_it_after_its_next_crash_report) {
   PoisonGuard late(metrics, PoisonRule{});
   End({"a", "b", "c"});
   guard.TakeNews();
@@ -142,7 +143,7 @@
   BOOST_TEST((late.SuspicionOf(kRequest, kStart) == Suspicion::kQuarantined));
 }
 
-BOOST_AUTO_TEST_CASE(what_the_store_has_is_quarantined_and_not_written_again) {
+BOOST_AUTO_TEST_CASE(stored_quarantine_is_applied_and_not_written_again) {
   guard.TakeStored(kRequest, 1min, kStart);
   BOOST_TEST((Believed() == Suspicion::kQuarantined));
   BOOST_TEST(guard.Decided(kStart).empty());
@@ -150,7 +151,7 @@
   BOOST_TEST((guard.SuspicionOf(RequestFingerprint(8), kStart) == Suspicion::kNone));
 }
 
-BOOST_AUTO_TEST_CASE(last_trial_goes_to_the_same_server_from_all_gateways) {
+BOOST_AUTO_TEST_CASE(last_trial_uses_the_same_server_at_all_gateways) {
   std::vector<BackendPtr> backends;
   for (int i = 0; i < 20; ++i) {
     backends.push_back(std::make_shared<Backend>(BackendNamed("s" + std::to_string(i))));
--- a/libs/gateway/test/retry_allowance-test.cc
+++ b/libs/gateway/test/retry_allowance-test.cc
@@ -15,7 +15,7 @@
 const ServiceId kService("s");
 const TimePoint kStart{1h};
 
-/// Requests and retries of all gateways, by steps of 100 ms.
+/// Requests and retries of all gateways per step of 100 ms.
 struct Totals {
   std::vector<double> requests;
   std::vector<double> retries;
@@ -28,8 +28,8 @@
     return sum;
   }
 
-  /// Whether every window of 10 s keeps the bound, with the requests of that
-  /// window, the one before or the one half before, whichever has most.
+  /// Whether every window of 10 s stays within the limit, based on the requests of that window, the
+  /// previous one, or the one starting half a window earlier, whichever has most.
   bool WithinBound() const {
     constexpr int kWindow = 100;
     for (int from = 0; from < static_cast<int>(retries.size()); ++from) {
@@ -46,15 +46,15 @@
 
 BOOST_AUTO_TEST_SUITE(retry_allowance)
 
-RC_BOOST_PROP(all_gateways_together_stay_within_the_bound_in_every_window, ()) {
+RC_BOOST_PROP(all_gateways_together_stay_within_the_limit_in_every_window, ()) {
   const auto gateways = *rc::gen::inRange(1, 12);
   std::vector<RetryAllowance> all;
   for (int i = 0; i < gateways; ++i) {
     all.emplace_back(kBound);
     all.back().SetGateways(static_cast<std::uint32_t>(gateways), kStart);
   }
-  // Requests a step for each stretch of 4 s; everything fails, so every
-  // gateway retries as often as it may.
+  // Requests per step for each period of 4 s. All attempts fail, so every gateway retries as often
+  // as allowed.
   const auto rates = *rc::gen::container<std::vector<int>>(10, rc::gen::inRange(0, 12));
   Totals totals;
   int step = 0;
@@ -75,9 +75,9 @@
   RC_ASSERT(totals.WithinBound());
 }
 
-// Found on scale-2 of tbw-depots: streams were broken off for want of retries
-// when an engine crashed, though the last seconds had earned enough.
-BOOST_AUTO_TEST_CASE(burst_may_use_what_the_last_window_has_earned) {
+// Guards against aborted streams when an engine crashes although the last seconds' requests earned
+// enough retries.
+BOOST_AUTO_TEST_CASE(burst_may_use_budget_earned_in_the_last_window) {
   RetryAllowance allowance({0.2, 56, 10s});
   allowance.SetGateways(8, kStart);
   for (int i = 0; i < 100; ++i) allowance.Earn(kService, kStart + i * 90ms);
@@ -86,7 +86,7 @@
   BOOST_TEST(allowed == 21);
 }
 
-BOOST_AUTO_TEST_CASE(window_that_has_passed_counts_no_more) {
+BOOST_AUTO_TEST_CASE(retries_before_the_window_do_not_count) {
   RetryAllowance allowance({0.2, 10, 10s});
   while (allowance.Spend(kService, kStart)) {
   }
@@ -94,17 +94,17 @@
   BOOST_TEST(allowance.Spend(kService, kStart + 11s));
 }
 
-BOOST_AUTO_TEST_CASE(bound_holds_in_windows_that_begin_at_any_moment) {
+BOOST_AUTO_TEST_CASE(limit_holds_in_windows_that_start_at_any_time) {
   RetryAllowance allowance({0.2, 10, 10s});
   while (allowance.Spend(kService, kStart + 490ms)) {
   }
   BOOST_TEST(!allowance.Spend(kService, kStart + 10s));
-  // Those of 490 ms may have arrived 700 ms later.
+  // Retries granted at 490 ms may have arrived 700 ms later.
   BOOST_TEST(!allowance.Spend(kService, kStart + 490ms + 10'700ms));
   BOOST_TEST(allowance.Spend(kService, kStart + 490ms + 10'701ms));
 }
 
-RC_BOOST_PROP(arrivals_keep_the_bound_in_every_window_however_long_they_are_on_the_way, ()) {
+RC_BOOST_PROP(arrivals_stay_within_the_limit_in_every_window_despite_connect_delay, ()) {
   RetryAllowance allowance({0.2, 5, 10s});
   std::vector<TimePoint> arrivals;
   TimePoint now = kStart;
@@ -120,7 +120,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(requests_earn_for_no_longer_than_a_window) {
+BOOST_AUTO_TEST_CASE(requests_earn_budget_for_one_window) {
   RetryAllowance allowance({0.2, 10, 10s});
   for (int i = 0; i < 100; ++i) allowance.Earn(kService, kStart);
   int allowed = 0;
@@ -128,7 +128,7 @@
   BOOST_TEST(allowed == 8);
 }
 
-BOOST_AUTO_TEST_CASE(slack_is_shared_by_the_most_gateways_of_the_last_window) {
+BOOST_AUTO_TEST_CASE(slack_is_divided_by_the_maximum_gateway_count_of_the_last_window) {
   RetryAllowance allowance({0.2, 80, 10s});
   const auto allowed = [&](TimePoint now) {
     RetryAllowance copy = allowance;
@@ -138,7 +138,7 @@
   };
   allowance.SetGateways(8, kStart);
   BOOST_TEST(allowed(kStart) == 8);
-  // All leases lapse in an outage; the gateways go on.
+  // All leases expire in a store outage, but the gateways keep running.
   allowance.SetGateways(1, kStart + 1min);
   BOOST_TEST(allowed(kStart + 1min) == 8);
   allowance.SetGateways(4, kStart + 1min + 4s);
@@ -147,12 +147,12 @@
   BOOST_TEST(allowed(kStart + 1min + 10'701ms) == 16);
   BOOST_TEST(allowed(kStart + 1min + 6s + 10'700ms) == 16);
   BOOST_TEST(allowed(kStart + 1min + 6s + 10'701ms) == 32);
-  // One more counts at once.
+  // An increase takes effect immediately.
   allowance.SetGateways(16, kStart + 1min + 7s);
   BOOST_TEST(allowed(kStart + 1min + 7s) == 4);
 }
 
-BOOST_AUTO_TEST_CASE(services_do_not_share_an_allowance) {
+BOOST_AUTO_TEST_CASE(services_do_not_share_a_budget) {
   RetryAllowance allowance({0.2, 5, 10s});
   while (allowance.Spend(ServiceId("a"), kStart)) {
   }
