--- a/libs/gateway/src/admission.cc
+++ b/libs/gateway/src/admission.cc
@@ -3,8 +3,8 @@
 namespace ridgehold {
 namespace {
 
-Duration Part(double part, Duration whole) {
-  return std::chrono::duration_cast<Duration>(part * whole);
+Duration FractionOf(double fraction, Duration total) {
+  return std::chrono::duration_cast<Duration>(fraction * total);
 }
 
 }  // namespace
@@ -14,15 +14,15 @@
 }
 
 bool Admission::WaitedEnough(const AdmissionQuery& query) const {
-  return query.age >= Part(rule_.longest_wait, query.objective);
+  return query.age >= FractionOf(rule_.longest_wait, query.objective);
 }
 
 bool Admission::MaySend(const AdmissionQuery& query) const {
   const bool has_objectives = query.objective > Duration::zero() && query.room > Duration::zero();
   if (!rule_.enabled || !has_objectives) return true;
   if (WaitedEnough(query)) return true;
-  if (query.ahead <= Part(rule_.late_part, query.room)) return true;
-  return InTime(query) && query.ahead + query.own <= Part(rule_.full_part, query.room);
+  if (query.ahead <= FractionOf(rule_.late_part, query.room)) return true;
+  return InTime(query) && query.ahead + query.own <= FractionOf(rule_.full_part, query.room);
 }
 
 }  // namespace ridgehold
--- a/libs/gateway/src/attempt_policy.cc
+++ b/libs/gateway/src/attempt_policy.cc
@@ -12,23 +12,23 @@
 constexpr int kFirstServerError = 500;
 
 /// Statuses that clients take as proof that the request was not executed.
-bool PromisesNotRun(int status) {
+bool ImpliesNotExecuted(int status) {
   return status == kTooManyRequests || status == kServiceUnavailable || status == kRequestTimeout ||
          status == kMisdirected;
 }
 
 /// Whether another backend server may give a better response.
-bool WorthRepeating(const AttemptFacts& facts) {
+bool IsWorthRetrying(const AttemptFacts& facts) {
   if (facts.end != AttemptEnd::kAnswered) return true;
-  return facts.status >= kFirstServerError || PromisesNotRun(facts.status);
+  return facts.status >= kFirstServerError || ImpliesNotExecuted(facts.status);
 }
 
 /// Whether the response may be forwarded unchanged. A status that implies "not executed" is never
 /// forwarded here; it is reported only if that is proved for all attempts.
-bool Deliverable(const AttemptFacts& facts) {
+bool IsDeliverable(const AttemptFacts& facts) {
   if (facts.end != AttemptEnd::kAnswered || facts.stream_begun) return false;
   if (facts.status < kFirstError) return facts.has_signature;
-  return !PromisesNotRun(facts.status);
+  return !ImpliesNotExecuted(facts.status);
 }
 
 }  // namespace
@@ -44,20 +44,21 @@
   }
   const bool not_run = ProvesNotRun(facts);
   const bool bad_request = not_run && facts.status == kBadRequest;
-  const bool final_answer = Deliverable(facts) && !WorthRepeating(facts);
+  const bool final_answer = IsDeliverable(facts) && !IsWorthRetrying(facts);
   if (final_answer && !not_run) return NextStep::kDeliver;
-  if (bad_request && Deliverable(facts)) return NextStep::kDeliver;
+  if (bad_request && IsDeliverable(facts)) return NextStep::kDeliver;
   const bool runs_left = facts.runs < facts.max_runs && (facts.may_repeat || !facts.may_have_run);
   const bool sends_left = facts.sends < facts.max_runs + kMostRefusedSends;
-  const bool may_try = facts.time_left && sends_left && runs_left;
-  if (may_try && (not_run || facts.may_repeat) && WorthRepeating(facts)) return NextStep::kTryAgain;
+  const bool may_retry = facts.time_left && sends_left && runs_left;
+  if (may_retry && (not_run || facts.may_repeat) && IsWorthRetrying(facts))
+    return NextStep::kTryAgain;
   return StepWithoutRetry(facts);
 }
 
 NextStep StepWithoutRetry(const AttemptFacts& facts) {
   if (facts.stream_begun) return NextStep::kBreakOff;
   if (!facts.may_have_run) return NextStep::kRefuse;
-  return Deliverable(facts) ? NextStep::kDeliver : NextStep::kFail;
+  return IsDeliverable(facts) ? NextStep::kDeliver : NextStep::kFail;
 }
 
 }  // namespace ridgehold
--- a/libs/gateway/src/backend_permit.cc
+++ b/libs/gateway/src/backend_permit.cc
@@ -14,52 +14,53 @@
 // Requests are sent without a permit for this long after a limit is first seen. A quota share
 // without a holder is taken over within about 300 ms; if all backend servers set limits at once, no
 // request would be served until then.
-constexpr std::chrono::milliseconds kNobodyCountsYet{1'000};
+constexpr std::chrono::milliseconds kHolderTakeoverTime{1'000};
 // Retry interval while there is no quota holder; it may be back by then.
-constexpr std::chrono::milliseconds kAskAgain{250};
+constexpr std::chrono::milliseconds kHolderRetryInterval{250};
 // Minimum block time; a response from another zone takes as long.
-constexpr std::chrono::milliseconds kLeastBar{5};
+constexpr std::chrono::milliseconds kMinBlockTime{5};
 
 /// Whether a request may be sent while no quota holder has answered.
-bool MayGoUncounted(Backend& backend, bool asked, const PermitAsker& asker, TimePoint now) {
+bool MayUseFallback(Backend& backend, bool asked, const PermitAsker& requester, TimePoint now) {
   BackendWord& word = backend.notice_state;
-  if (!asked && now - word.limited_since() < kNobodyCountsYet) return true;
-  if (word.TakeUncounted(HashOf(backend), asker.gateway, asker.gateways, now)) return true;
-  word.NoteNoPermit(std::min<TimePoint>(UncountedTurns::NextTurn(now), now + kAskAgain));
+  if (!asked && now - word.limited_since() < kHolderTakeoverTime) return true;
+  if (word.TakeUncounted(HashOf(backend), requester.gateway, requester.gateways, now)) return true;
+  word.NoteNoPermit(std::min<TimePoint>(UncountedTurns::NextTurn(now), now + kHolderRetryInterval));
   return false;
 }
 
 }  // namespace
 
-PermitVerdict JudgePermit(Backend& backend, const QuotaOutcome& outcome, const PermitAsker& asker,
-                          TimePoint now) {
+PermitVerdict JudgePermit(Backend& backend, const QuotaOutcome& outcome,
+                          const PermitAsker& requester, TimePoint now) {
   switch (outcome.verdict) {
     case QuotaVerdict::kGranted:
       return PermitVerdict::kGranted;
     case QuotaVerdict::kOverQuota:
     case QuotaVerdict::kTooLarge:
-      backend.notice_state.NoteNoPermit(now + std::max<Duration>(outcome.retry_after, kLeastBar));
+      backend.notice_state.NoteNoPermit(now +
+                                        std::max<Duration>(outcome.retry_after, kMinBlockTime));
       return PermitVerdict::kRefused;
     case QuotaVerdict::kNotHolder:
       break;
   }
-  const bool may_go = MayGoUncounted(backend, outcome.asked > 0, asker, now);
-  return may_go ? PermitVerdict::kUncounted : PermitVerdict::kNobodyCounts;
+  const bool may_send = MayUseFallback(backend, outcome.asked > 0, requester, now);
+  return may_send ? PermitVerdict::kUncounted : PermitVerdict::kNobodyCounts;
 }
 
 net::awaitable<Permit> AcquirePermit(GatewayState& state, BackendPtr backend) {
   Permit permit;
   if (!backend->notice_state.limit()) co_return permit;
-  const TimePoint began = Clock::now();
+  const TimePoint start = Clock::now();
   QuotaDemand demand;
   demand.subject = state.words().SubjectFor(*backend);
   demand.tokens = kTokensOfRequest;
   demand.terms = state.words().TermsFor(*backend);
   const QuotaOutcome outcome = co_await state.AcquireQuota(std::move(demand));
   const TimePoint now = Clock::now();
-  permit.took = std::chrono::duration_cast<Duration>(now - began);
-  const PermitAsker asker{state.gateway_hash(), state.gateways()};
-  permit.verdict = JudgePermit(*backend, outcome, asker, now);
+  permit.took = std::chrono::duration_cast<Duration>(now - start);
+  const PermitAsker requester{state.gateway_hash(), state.gateways()};
+  permit.verdict = JudgePermit(*backend, outcome, requester, now);
   if (permit.verdict == PermitVerdict::kGranted) permit.ticket = outcome.ticket;
   state.metrics()
       .GetCounter("ridgehold_permits", "verdict=\"" + std::string(NameOf(permit.verdict)) + "\"")
--- a/libs/gateway/src/backend_prober.cc
+++ b/libs/gateway/src/backend_prober.cc
@@ -12,7 +12,7 @@
 namespace {
 
 // Polling interval for the end of a probe, which takes 1 to 6 ms.
-constexpr std::chrono::milliseconds kConfirmLook{2};
+constexpr std::chrono::milliseconds kConfirmPollInterval{2};
 
 }  // namespace
 
@@ -37,14 +37,14 @@
 }
 
 net::awaitable<void> BackendProber::Confirm(BackendPtr backend) {
-  const TimePoint begun = Clock::now();
+  const TimePoint start = Clock::now();
   if (!options_.enabled) co_return;
   const bool known =
-      state_.poison().HasEnded(*backend) || begun - backend->probed_at < options_.pause;
+      state_.poison().HasEnded(*backend) || start - backend->probed_at < options_.pause;
   if (!known && !backend->probing && running_ < options_.most_at_once) StartProbe(backend);
   Timer timer(state_.executor());
-  while (backend->probing && Clock::now() - begun < options_.confirm_limit) {
-    co_await WaitFor(timer, kConfirmLook);
+  while (backend->probing && Clock::now() - start < options_.confirm_limit) {
+    co_await WaitFor(timer, kConfirmPollInterval);
   }
   if (state_.poison().HasEnded(*backend)) co_await WaitFor(timer, options_.word_of_others);
 }
@@ -67,11 +67,11 @@
 }
 
 net::awaitable<void> BackendProber::Probe(BackendPtr backend) {
-  const TimePoint begun = Clock::now();
-  backend->probed_at = begun;
+  const TimePoint start = Clock::now();
+  backend->probed_at = start;
   const auto connection = OutboundConnection::Create(state_.executor());
   const tcp::endpoint endpoint = ParseEndpoint(backend->entry.address);
-  const ExchangeFault fault = co_await connection->Connect(endpoint, begun + options_.connect_limit,
+  const ExchangeFault fault = co_await connection->Connect(endpoint, start + options_.connect_limit,
                                                            options_.connect_limit);
   --running_;
   backend->probing = false;
@@ -94,7 +94,7 @@
        {"address", backend->entry.address},
        {"zone", backend->entry.zone.value()},
        {"refused", connection->refused() ? "yes" : "no"},
-       {"probe_ms", MillisecondsText(Clock::now() - begun)}});
+       {"probe_ms", MillisecondsText(Clock::now() - start)}});
 }
 
 }  // namespace ridgehold
--- a/libs/gateway/src/backend_word.cc
+++ b/libs/gateway/src/backend_word.cc
@@ -23,8 +23,8 @@
   bool changed = notice.leaving && !leaving_;
   leaving_ = leaving_ || notice.leaving;
   // A response to a request sent before the limit was known does not show that the limit has ended.
-  const bool later = sent > known_at_;
-  if (later && !notice.limit_unreadable && notice.limit != limit_) {
+  const bool sent_after_change = sent > known_at_;
+  if (sent_after_change && !notice.limit_unreadable && notice.limit != limit_) {
     SetLimit(notice.limit, now);
     changed = true;
   }
@@ -53,16 +53,16 @@
 }
 
 bool BackendWord::NoteRestOfOther(std::uint64_t gateway, TimePoint until, TimePoint now) {
-  const bool doubted = doubted_until() > now;
+  const bool was_deprioritized = doubted_until() > now;
   others_.Note(gateway, until);
   others_heard_at_ = now;
-  return !doubted && doubted_until() > now;
+  return !was_deprioritized && doubted_until() > now;
 }
 
 bool BackendWord::BeginTelling(TimePoint now) {
   // Shorter than the time over which the gossip repeats an update.
-  constexpr std::chrono::milliseconds kTelling{400};
-  if (told_from_ != TimePoint() && now - told_from_ < kTelling) return false;
+  constexpr std::chrono::milliseconds kBroadcastTime{400};
+  if (told_from_ != TimePoint() && now - told_from_ < kBroadcastTime) return false;
   told_from_ = now;
   return true;
 }
@@ -84,10 +84,11 @@
 
 bool BackendWord::TakeUncounted(BackendHash backend, std::uint64_t gateway, std::uint32_t gateways,
                                 TimePoint now) {
-  const std::int64_t turn = UncountedTurns::TurnAt(now);
-  const bool mine = limit_ && UncountedTurns::IsDrawn({backend, gateway, gateways, *limit_}, turn);
-  if (!mine || uncounted_turn_ == turn) return false;
-  uncounted_turn_ = turn;
+  const std::int64_t slot = UncountedTurns::TurnAt(now);
+  const bool selected =
+      limit_ && UncountedTurns::IsDrawn({backend, gateway, gateways, *limit_}, slot);
+  if (!selected || uncounted_turn_ == slot) return false;
+  uncounted_turn_ = slot;
   return true;
 }
 
--- a/libs/gateway/src/backend_words.cc
+++ b/libs/gateway/src/backend_words.cc
@@ -10,13 +10,13 @@
 namespace {
 
 // How long quota holders are kept after a limit was last seen.
-constexpr std::chrono::seconds kCounted{60};
-constexpr std::size_t kMostNewTerms = 4'096;
+constexpr std::chrono::seconds kQuotaRetention{60};
+constexpr std::size_t kMaxChangedTerms = 4'096;
 // Maximum time for which peers' back-offs deprioritize a server here. They do not bind this
 // gateway, which then tries again.
-constexpr std::chrono::milliseconds kLongestDoubt{5'000};
+constexpr std::chrono::milliseconds kMaxPeerBackoff{5'000};
 
-void LogWord(const char* event, const Backend& backend) {
+void LogState(const char* event, const Backend& backend) {
   const BackendWord& word = backend.notice_state;
   const std::string limit =
       word.limit() ? fmt::format("{:.3f}", word.limit()->per_second()) : "none";
@@ -39,13 +39,13 @@
          {"rest_ms", std::to_string(notice.rest->count())}});
   }
   const bool changed = backend.notice_state.TakeNotice(notice, sent, now);
-  if (notice.limit) counted_until_ = now + kCounted;
+  if (notice.limit) counted_until_ = now + kQuotaRetention;
   if (changed) {
-    LogWord("backend notice", backend);
+    LogState("backend notice", backend);
     NoteChange(backend, now);
   }
-  const bool tells = changed || (notice.rest && backend.notice_state.TellsRest(now));
-  if (!tells || !backend.notice_state.BeginTelling(now)) return;
+  const bool share = changed || (notice.rest && backend.notice_state.TellsRest(now));
+  if (!share || !backend.notice_state.BeginTelling(now)) return;
   news_.items.push_back(NewsOf(backend, now));
   if (on_news_) on_news_();
 }
@@ -62,7 +62,7 @@
 void BackendWords::TakeRest(Backend& backend, const BackendNews& news, std::uint64_t gateway,
                             TimePoint now) {
   if (!news.rest_left) return;
-  const TimePoint until = now + std::min(*news.rest_left, kLongestDoubt);
+  const TimePoint until = now + std::min(*news.rest_left, kMaxPeerBackoff);
   if (!backend.notice_state.NoteRestOfOther(gateway, until, now)) return;
   Log(LogLevel::kInfo, "backend deprioritized: two peers were asked to back off",
       {{"backend", backend.entry.id.value()},
@@ -72,18 +72,18 @@
 
 BackendNewsList BackendWords::Take(const BackendNewsList& news, std::uint64_t gateway,
                                    TimePoint now) {
-  BackendNewsList better;
+  BackendNewsList newer;
   for (const BackendNews& item : news.items) {
     const BackendPtr backend = directory_.FindByHash(item.backend);
     if (!backend) continue;
     TakeRest(*backend, item, gateway, now);
     const BackendNews before = backend->notice_state.News(item.backend);
-    if (backend->notice_state.TakeNews(item, now)) better.items.push_back(before);
+    if (backend->notice_state.TakeNews(item, now)) newer.items.push_back(before);
     if (backend->notice_state.News(item.backend) == before) continue;
-    LogWord("backend notice told", *backend);
+    LogState("backend notice told", *backend);
     NoteChange(*backend, now);
   }
-  return better;
+  return newer;
 }
 
 BackendNewsList BackendWords::Refreshed(const BackendNewsList& news, TimePoint now) const {
@@ -97,10 +97,10 @@
 
 void BackendWords::NoteChange(const Backend& backend, TimePoint now) {
   if (!backend.notice_state.limit()) return;
-  counted_until_ = now + kCounted;
+  counted_until_ = now + kQuotaRetention;
   // Pending terms are not consumed while this gateway holds no quota share. They may be dropped,
   // since each request carries its terms.
-  if (new_terms_.size() >= kMostNewTerms) new_terms_.clear();
+  if (new_terms_.size() >= kMaxChangedTerms) new_terms_.clear();
   new_terms_[SubjectFor(backend)] = TermsFor(backend);
   if (on_limit_) on_limit_();
 }
--- a/libs/gateway/src/caller_connection.cc
+++ b/libs/gateway/src/caller_connection.cc
@@ -14,7 +14,7 @@
 constexpr unsigned kHttp11 = 11;
 // A pipelined request keeps the socket readable, so a disconnect after it raises no event. Polling
 // at this interval detects it well within half a second.
-constexpr std::chrono::milliseconds kWatchPause{200};
+constexpr std::chrono::milliseconds kDisconnectPollInterval{200};
 
 ReadOutcome Refused(ResultCode code, std::string detail = "") {
   return {ReadOutcome::Kind::kRefused, {code, std::move(detail)}};
@@ -36,9 +36,9 @@
 }
 
 /// Whether the peer has closed the connection, even if unread bytes precede the close.
-bool HasClosed(int descriptor) {
-  pollfd look{descriptor, POLLRDHUP, 0};
-  return ::poll(&look, 1, 0) > 0;
+bool PeerHasClosed(int descriptor) {
+  pollfd poll_request{descriptor, POLLRDHUP, 0};
+  return ::poll(&poll_request, 1, 0) > 0;
 }
 
 }  // namespace
@@ -150,7 +150,7 @@
 }
 
 void CallerConnection::WatchAgainLater(std::uint64_t watch) {
-  watch_timer_.expires_after(kWatchPause);
+  watch_timer_.expires_after(kDisconnectPollInterval);
   watch_timer_.async_wait([self = shared_from_this(), watch](const ErrorCode& error) {
     if (error || !self->watching_ || watch != self->watch_) return;
     self->WatchCaller(std::move(self->on_gone_));
@@ -158,7 +158,7 @@
 }
 
 bool CallerConnection::CheckCallerGone() {
-  caller_gone_ = caller_gone_ || HasClosed(socket_.native_handle());
+  caller_gone_ = caller_gone_ || PeerHasClosed(socket_.native_handle());
   return caller_gone_;
 }
 
--- a/libs/gateway/src/gateway_state.cc
+++ b/libs/gateway/src/gateway_state.cc
@@ -174,8 +174,8 @@
 std::uint32_t GatewayState::Uncovered(const Backend& backend, TimePoint now) {
   // Half of the budget is reserved for another engine that is interrupted or fails at the same
   // time.
-  constexpr double kForOneEngine = 0.5;
-  const double covered = kForOneEngine * retries_.Left(backend.entry.service, now);
+  constexpr double kBudgetFractionPerEngine = 0.5;
+  const double covered = kBudgetFractionPerEngine * retries_.Left(backend.entry.service, now);
   const double resumable = backend.in_flight - std::min(backend.in_flight, backend.unrepeatable);
   return static_cast<std::uint32_t>(std::max(0.0, resumable - covered));
 }
--- a/libs/gateway/src/poison_detector.cc
+++ b/libs/gateway/src/poison_detector.cc
@@ -13,9 +13,9 @@
   if (lapsed) record = Record{};
   record.ends.push_back(backend);
   record.last = now;
-  const bool decides = record.counted() >= rule_.most_ends && now >= record.until;
-  if (decides) record.until = now + rule_.quarantine;
-  return decides;
+  const bool quarantines = record.counted() >= rule_.most_ends && now >= record.until;
+  if (quarantines) record.until = now + rule_.quarantine;
+  return quarantines;
 }
 
 bool PoisonDetector::TakeSurvived(RequestFingerprint request, TimePoint now) {
--- a/libs/gateway/src/poison_guard.cc
+++ b/libs/gateway/src/poison_guard.cc
@@ -12,11 +12,11 @@
 namespace {
 
 // Maximum number of fingerprints in a log line; an engine runs up to a few hundred requests.
-constexpr std::size_t kMostLogged = 16;
+constexpr std::size_t kMaxLogged = 16;
 
 std::string ListOf(std::span<const RequestFingerprint> requests) {
   std::string list;
-  for (const RequestFingerprint request : requests.first(std::min(requests.size(), kMostLogged))) {
+  for (const RequestFingerprint request : requests.first(std::min(requests.size(), kMaxLogged))) {
     if (!list.empty()) list += ",";
     list += ToText(request);
   }
@@ -52,8 +52,8 @@
 
 void PoisonGuard::NoteEnd(const EndNews& end, TimePoint now) {
   news_.ends.push_back(end);
-  const bool decides = detector_.TakeEnd(end.request, end.backend, now);
-  if (!Forgive(end.request, now) && decides) {
+  const bool quarantines = detector_.TakeEnd(end.request, end.backend, now);
+  if (!Forgive(end.request, now) && quarantines) {
     decided_here_.insert(end.request);
     news_.quarantined.push_back(end.request);
     OnQuarantined(end.request, "own");
@@ -115,8 +115,8 @@
 void PoisonGuard::Take(const PoisonNews& news, TimePoint now) {
   for (const EndNews& end : news.ends) {
     TellQuarantined(end.request, now);
-    const bool decides = detector_.TakeEnd(end.request, end.backend, now);
-    if (!Forgive(end.request, now) && decides) OnQuarantined(end.request, "peers");
+    const bool quarantines = detector_.TakeEnd(end.request, end.backend, now);
+    if (!Forgive(end.request, now) && quarantines) OnQuarantined(end.request, "peers");
   }
   for (const RequestFingerprint request : news.quarantined) {
     const bool taken = detector_.TakeQuarantine(request, Duration::max(), now);
@@ -144,11 +144,11 @@
 }
 
 std::vector<PoisonDetector::Quarantine> PoisonGuard::Decided(TimePoint now) {
-  const auto is_over = [&](RequestFingerprint request) {
+  const auto is_not_quarantined = [&](RequestFingerprint request) {
     return detector_.SuspicionOf(request, now) != Suspicion::kQuarantined;
   };
-  std::erase_if(decided_here_, is_over);
-  std::erase_if(from_store_, is_over);
+  std::erase_if(decided_here_, is_not_quarantined);
+  std::erase_if(from_store_, is_not_quarantined);
   std::vector<PoisonDetector::Quarantine> decided = detector_.Quarantined(now);
   std::erase_if(decided, [&](const auto& entry) { return from_store_.contains(entry.request); });
   return decided;
--- a/libs/gateway/src/refusal.cc
+++ b/libs/gateway/src/refusal.cc
@@ -9,25 +9,25 @@
 ResponseMessage MakeRefusal(const Failure& failure, const RequestId& request,
                             std::chrono::milliseconds retry_after) {
   const ResultCodeInfo& info = Describe(failure.code);
-  ResponseMessage answer(static_cast<http::status>(info.http_status), 11);
-  answer.set(http::field::content_type, "application/json");
-  answer.set("X-Ridgehold-Code", std::to_string(static_cast<int>(info.code)));
-  if (!request.value().empty()) answer.set("X-Request-Id", request.value());
+  ResponseMessage response(static_cast<http::status>(info.http_status), 11);
+  response.set(http::field::content_type, "application/json");
+  response.set("X-Ridgehold-Code", std::to_string(static_cast<int>(info.code)));
+  if (!request.value().empty()) response.set("X-Request-Id", request.value());
   if (info.retry == RetryAdvice::kLater) {
     const double seconds = std::chrono::duration<double>(retry_after).count();
-    answer.set(http::field::retry_after, fmt::format("{:.3f}", seconds));
+    response.set(http::field::retry_after, fmt::format("{:.3f}", seconds));
   }
   // OpenAI's client libraries retry any 5xx response without this header.
-  if (info.retry == RetryAdvice::kNever) answer.set("X-Should-Retry", "false");
+  if (info.retry == RetryAdvice::kNever) response.set("X-Should-Retry", "false");
   const std::string message =
       failure.detail.empty() ? std::string(info.explanation) : failure.detail;
-  answer.body() =
+  response.body() =
       nlohmann::json{
           {"error",
            {{"code", info.name}, {"message", message}, {"execution", ToString(info.execution)}}}}
           .dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
-  answer.prepare_payload();
-  return answer;
+  response.prepare_payload();
+  return response;
 }
 
 }  // namespace ridgehold
--- a/libs/gateway/test/admission-test.cc
+++ b/libs/gateway/test/admission-test.cc
@@ -90,23 +90,23 @@
 }
 
 BOOST_AUTO_TEST_CASE(queue_orders_by_lateness_priority_and_arrival) {
-  DeferredRequests line;
+  DeferredRequests queue;
   std::vector<std::unique_ptr<DeferredRequests::Ticket>> others;
-  DeferredRequests::Ticket first(line, 1);
+  DeferredRequests::Ticket first(queue, 1);
   for (std::size_t i = 0; i < DeferredRequests::kLooking; ++i) {
-    others.push_back(std::make_unique<DeferredRequests::Ticket>(line, 1));
+    others.push_back(std::make_unique<DeferredRequests::Ticket>(queue, 1));
   }
   BOOST_TEST(first.MayLook());
   BOOST_TEST(!others.back()->MayLook());
   first.SetLate();
   BOOST_TEST(!first.MayLook());
   BOOST_TEST(others.back()->MayLook());
-  DeferredRequests::Ticket urgent(line, 0);
+  DeferredRequests::Ticket urgent(queue, 0);
   BOOST_TEST(urgent.MayLook());
   BOOST_TEST(!others.back()->MayLook());
   others.clear();
   BOOST_TEST(first.MayLook());
-  BOOST_TEST(line.size() == 2U);
+  BOOST_TEST(queue.size() == 2U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/gateway/test/backend_word-test.cc
+++ b/libs/gateway/test/backend_word-test.cc
@@ -23,7 +23,7 @@
   return notice;
 }
 
-BackendNotice Rest(std::chrono::milliseconds length) {
+BackendNotice Backoff(std::chrono::milliseconds length) {
   BackendNotice notice;
   notice.rest = length;
   return notice;
@@ -68,17 +68,17 @@
 }
 
 BOOST_AUTO_TEST_CASE(newest_update_wins_in_any_order) {
-  BackendWord teller;
-  teller.TakeNotice(Limit(1.5), kStart, kStart + 10ms);
-  const BackendNews first = teller.News(kBackend);
-  teller.TakeNotice(Limit(3), kStart + 20ms, kStart + 30ms);
-  const BackendNews second = teller.News(kBackend);
-  BackendWord listener;
-  BOOST_TEST(!listener.TakeNews(second, kStart));
+  BackendWord sender;
+  sender.TakeNotice(Limit(1.5), kStart, kStart + 10ms);
+  const BackendNews first = sender.News(kBackend);
+  sender.TakeNotice(Limit(3), kStart + 20ms, kStart + 30ms);
+  const BackendNews second = sender.News(kBackend);
+  BackendWord receiver;
+  BOOST_TEST(!receiver.TakeNews(second, kStart));
   // The sender of the first update has older state.
-  BOOST_TEST(listener.TakeNews(first, kStart));
-  BOOST_TEST((listener.limit() == RequestRate::Of(3)));
-  BOOST_TEST(!listener.TakeNews(second, kStart));
+  BOOST_TEST(receiver.TakeNews(first, kStart));
+  BOOST_TEST((receiver.limit() == RequestRate::Of(3)));
+  BOOST_TEST(!receiver.TakeNews(second, kStart));
 }
 
 BOOST_AUTO_TEST_CASE(stricter_limit_wins_for_equal_numbers) {
@@ -86,15 +86,15 @@
   const BackendNews low{kBackend, 1, RequestRate::Of(2), false, {}};
   for (const auto& order : {std::vector{high, low}, std::vector{low, high}}) {
     BackendWord word;
-    for (const BackendNews& news : order) word.TakeNews(news, kStart);
+    for (const BackendNews& update : order) word.TakeNews(update, kStart);
     BOOST_TEST((word.limit() == RequestRate::Of(2)));
   }
 }
 
 BOOST_AUTO_TEST_CASE(backoff_blocks_until_its_end_and_is_not_shortened) {
   BackendWord word;
-  word.TakeNotice(Rest(3s), kStart, kStart);
-  word.TakeNotice(Rest(200ms), kStart + 1s, kStart + 1s);
+  word.TakeNotice(Backoff(3s), kStart, kStart);
+  word.TakeNotice(Backoff(200ms), kStart + 1s, kStart + 1s);
   BOOST_TEST(word.Bars(kStart + 2'999ms));
   BOOST_TEST(!word.Bars(kStart + 3s));
   // A back-off applies to this gateway only.
@@ -124,36 +124,36 @@
 }
 
 /// Registry with one backend server.
-struct WordsOfOne {
+struct RegistryFixture {
   BackendDirectory directory;
-  BackendWords words{directory};
+  BackendWords registry{directory};
   BackendPtr backend;
 
-  WordsOfOne() {
+  RegistryFixture() {
     directory.Put(Entry("x"));
     backend = directory.Find(BackendId("x"));
   }
 
-  BackendNewsList Turned(TimePoint at) {
-    words.Note(*backend, Rest(3s), at, at);
-    return words.TakeNews();
+  BackendNewsList RejectAt(TimePoint at) {
+    registry.Note(*backend, Backoff(3s), at, at);
+    return registry.TakeNews();
   }
 };
 
-BOOST_FIXTURE_TEST_CASE(backoff_is_shared_with_its_remaining_time, WordsOfOne) {
-  const BackendNewsList news = Turned(kStart);
-  BOOST_REQUIRE(news.items.size() == 1U);
-  BOOST_TEST((news.items.front().rest_left == 3'000ms));
-  BOOST_TEST((words.Refreshed(news, kStart + 500ms).items.front().rest_left == 2'500ms));
-  BOOST_TEST(!words.Refreshed(news, kStart + 3s).items.front().rest_left.has_value());
+BOOST_FIXTURE_TEST_CASE(backoff_is_shared_with_its_remaining_time, RegistryFixture) {
+  const BackendNewsList update = RejectAt(kStart);
+  BOOST_REQUIRE(update.items.size() == 1U);
+  BOOST_TEST((update.items.front().rest_left == 3'000ms));
+  BOOST_TEST((registry.Refreshed(update, kStart + 500ms).items.front().rest_left == 2'500ms));
+  BOOST_TEST(!registry.Refreshed(update, kStart + 3s).items.front().rest_left.has_value());
 }
 
-BOOST_FIXTURE_TEST_CASE(backoff_known_from_two_peers_is_not_shared, WordsOfOne) {
-  BackendNews news = backend->notice_state.News(HashOf(*backend));
-  news.rest_left = 60s;
-  for (const std::uint64_t other : {1, 2}) words.Take({{news}}, other, kStart);
+BOOST_FIXTURE_TEST_CASE(backoff_known_from_two_peers_is_not_shared, RegistryFixture) {
+  BackendNews update = backend->notice_state.News(HashOf(*backend));
+  update.rest_left = 60s;
+  for (const std::uint64_t other : {1, 2}) registry.Take({{update}}, other, kStart);
   BOOST_TEST(IsAvoided(*backend, kStart));
-  BOOST_TEST(Turned(kStart + 1s).empty());
+  BOOST_TEST(RejectAt(kStart + 1s).empty());
   // This gateway tries again after 5 s, however long the peers' back-offs are.
   BOOST_TEST(!IsAvoided(*backend, kStart + 5s));
 }
@@ -197,18 +197,18 @@
   BackendDirectory directory;
   directory.Put(Entry("x"));
   const BackendPtr backend = directory.Find(BackendId("x"));
-  BackendWords words(directory);
-  int told = 0;
+  BackendWords registry(directory);
+  int shared = 0;
   for (int i = 0; i < 1'000; ++i) {
     const TimePoint sent = kStart + i * 1ms;
-    words.Note(*backend, Limit(1 + i / 100.0), sent, sent + 500us);
-    const BackendNewsList news = words.TakeNews();
-    told += static_cast<int>(news.items.size());
+    registry.Note(*backend, Limit(1 + i / 100.0), sent, sent + 500us);
+    const BackendNewsList update = registry.TakeNews();
+    shared += static_cast<int>(update.items.size());
   }
-  BOOST_TEST(told <= 3);
+  BOOST_TEST(shared <= 3);
   // A repeated update carries the latest state.
   const BackendNewsList again =
-      words.Refreshed({{{HashOf(*backend), 1, {}, false, {}}}}, kStart + 1s);
+      registry.Refreshed({{{HashOf(*backend), 1, {}, false, {}}}}, kStart + 1s);
   BOOST_REQUIRE(again.items.size() == 1U);
   BOOST_TEST((again.items.front().limit == RequestRate::Of(1 + 999 / 100.0)));
 }
@@ -216,34 +216,34 @@
 // Without a quota holder, gateways that cannot reach each other together stay within a fraction of
 // the limit, whatever their load.
 BOOST_AUTO_TEST_CASE(fallback_requests_stay_within_the_reserved_fraction) {
-  constexpr int kTurns = 5'000;
+  constexpr int kSlots = 5'000;
   constexpr int kWindow = 5;  // slots that a 4 s window can overlap
   for (const std::uint32_t gateways : {8U, 90U, 300U}) {
     for (const double limit : {0.2, 1.2, 12.0}) {
-      std::vector<int> sent(kTurns);
+      std::vector<int> sent(kSlots);
       for (std::uint64_t gateway = 0; gateway < gateways; ++gateway) {
         BackendWord word;
         word.TakeNotice(Limit(limit), kStart, kStart);
-        for (int turn = 0; turn < kTurns; ++turn) {
-          const TimePoint now = kStart + turn * 1s;
+        for (int slot = 0; slot < kSlots; ++slot) {
+          const TimePoint now = kStart + slot * 1s;
           // At most one request per slot, however many are pending.
-          if (word.TakeUncounted(kBackend, gateway, gateways, now)) ++sent[turn];
+          if (word.TakeUncounted(kBackend, gateway, gateways, now)) ++sent[slot];
           BOOST_REQUIRE(!word.TakeUncounted(kBackend, gateway, gateways, now + 1ms));
         }
       }
       int most = 0;
       int all = 0;
-      for (int turn = 0; turn + kWindow < kTurns; ++turn) {
+      for (int slot = 0; slot + kWindow < kSlots; ++slot) {
         int sum = 0;
-        for (int i = 0; i < kWindow; ++i) sum += sent[turn + i];
+        for (int i = 0; i < kWindow; ++i) sum += sent[slot + i];
         most = std::max(most, sum);
-        all += sent[turn];
+        all += sent[slot];
       }
       BOOST_TEST_CONTEXT(gateways << " gateways, limit " << limit) {
         BOOST_TEST(most <= 1.5 * 4 * limit + 5);
-        const double part = all / (kTurns * limit);
-        BOOST_TEST(part > 0.8 * std::min(UncountedTurns::kPart, gateways / limit));
-        BOOST_TEST(part < 1.2 * UncountedTurns::kPart);
+        const double fraction = all / (kSlots * limit);
+        BOOST_TEST(fraction > 0.8 * std::min(UncountedTurns::kPart, gateways / limit));
+        BOOST_TEST(fraction < 1.2 * UncountedTurns::kPart);
       }
     }
   }
--- a/libs/gateway/test/event_relay-test.cc
+++ b/libs/gateway/test/event_relay-test.cc
@@ -37,9 +37,9 @@
 RC_BOOST_PROP(each_event_is_forwarded_once_in_order_despite_interruptions, ()) {
   const int total = *rc::gen::inRange(1, 30);
   EventRelay relay(std::nullopt);
-  std::string passed;
+  std::string forwarded;
   int done = 0;
-  constexpr int kMostBreaks = 10;
+  constexpr int kMaxInterruptions = 10;
   for (int attempt = 0; done < total; ++attempt) {
     relay.StartAttempt();
     // An attempt resumes after the last event, may repeat some events, and may be interrupted
@@ -47,16 +47,17 @@
     const int from = std::max(1, done + 1 - *rc::gen::inRange(0, 3));
     std::string bytes;
     for (int i = from; i <= total; ++i) bytes += Event(i);
-    const bool last = attempt == kMostBreaks;
+    const bool last = attempt == kMaxInterruptions;
     const auto cut = last ? bytes.size() : *rc::gen::inRange<std::size_t>(1, bytes.size() + 1);
     for (std::size_t at = 0; at < cut; at += 7) {
-      passed += relay.Take(std::string_view(bytes).substr(at, std::min<std::size_t>(7, cut - at)));
+      forwarded +=
+          relay.Take(std::string_view(bytes).substr(at, std::min<std::size_t>(7, cut - at)));
     }
     done = static_cast<int>(relay.last_event().value_or(0));
   }
   std::string expected;
   for (int i = 1; i <= total; ++i) expected += Event(i);
-  RC_ASSERT(passed == expected);
+  RC_ASSERT(forwarded == expected);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/gateway/test/poison_crowd.cc
+++ b/libs/gateway/test/poison_crowd.cc
@@ -22,15 +22,15 @@
 constexpr int kGateways = 8;
 constexpr int kRunning = 8;  // requests at a server, on average
 constexpr Duration kMeanRun = 700ms;
-constexpr Duration kNewsWay = 6ms;
-constexpr Duration kConfirm = 13ms;  // delay before an interrupted request is retried
-constexpr Duration kCallerPause = 200ms;
-constexpr Duration kBack = 3s;  // delay before a crashed server is replaced
-constexpr Duration kFatalAfter = 110ms;
-constexpr int kAtOnce = 3;  // concurrent copies of a poison request
+constexpr Duration kGossipDelay = 6ms;
+constexpr Duration kConfirmDelay = 13ms;  // delay before an interrupted request is retried
+constexpr Duration kClientRetryDelay = 200ms;
+constexpr Duration kRestartDelay = 3s;  // delay before a crashed server is replaced
+constexpr Duration kCrashDelay = 110ms;
+constexpr int kConcurrentCopies = 3;  // concurrent copies of a poison request
 constexpr int kSends = 2;
-constexpr int kTries = 2;
-constexpr double kPopularPart = 0.1;
+constexpr int kClientTries = 2;
+constexpr double kPopularFraction = 0.1;
 constexpr int kPopular = 5;
 constexpr std::uint64_t kFirstPoison = 1;
 constexpr std::uint64_t kFirstPopular = 100;
@@ -49,26 +49,26 @@
   std::uint64_t run = 0;  ///< incremented, to distinguish the end of an earlier run
 };
 
-class Crowd {
+class Simulation {
  public:
-  explicit Crowd(const CrowdPlan& plan)
-      : plan_(plan), random_(plan.seed), servers_(static_cast<std::size_t>(plan.servers)) {
+  explicit Simulation(const CrowdPlan& config)
+      : config_(config), random_(config.seed), servers_(static_cast<std::size_t>(config.servers)) {
     for (int i = 0; i < kGateways; ++i) guards_.push_back(MakeGuard(static_cast<std::size_t>(i)));
     for (Server& server : servers_) server.backend = MakeBackend();
   }
 
-  CrowdOutcome Play() {
-    Arrive();
-    for (int i = 0; i < plan_.poison_requests; ++i) StartPoison(i);
-    StartTrouble();
+  CrowdOutcome Simulate() {
+    ScheduleArrival();
+    for (int i = 0; i < config_.poison_requests; ++i) StartPoison(i);
+    StartCrashes();
     while (!events_.empty() && now_ < kStart + kLength) {
       Event event = events_.top();
       events_.pop();
       now_ = event.at;
       event.action();
     }
-    for (const auto& [content, ends] : ends_by_) {
-      outcome_.most_ends_by_one = std::max(outcome_.most_ends_by_one, ends);
+    for (const auto& [content, crashes] : crashes_by_) {
+      outcome_.max_crashes_by_one = std::max(outcome_.max_crashes_by_one, crashes);
     }
     return outcome_;
   }
@@ -87,36 +87,37 @@
     events_.push({now_ + time, ++last_event_, std::move(action)});
   }
 
-  std::size_t Draw(std::size_t count) {
+  std::size_t RandomIndex(std::size_t count) {
     return std::uniform_int_distribution<std::size_t>(0, count - 1)(random_);
   }
-  Duration DrawAround(Duration mean) {
+  Duration RandomDuration(Duration mean) {
     const auto value = std::exponential_distribution<double>(1.0)(random_);
     return Duration(1 + static_cast<Duration::rep>(value * static_cast<double>(mean.count())));
   }
   bool IsPoison(RequestFingerprint content) const {
-    return content.value() < kFirstPoison + static_cast<std::uint64_t>(plan_.poison_requests);
+    return content.value() < kFirstPoison + static_cast<std::uint64_t>(config_.poison_requests);
   }
 
-  void Arrive() {
-    After(DrawAround(kMeanRun) / (plan_.servers * kRunning), [this] {
-      const bool popular = std::bernoulli_distribution(kPopularPart)(random_);
-      const std::uint64_t content = popular ? kFirstPopular + Draw(kPopular) : ++last_content_;
-      ++outcome_.sound;
+  void ScheduleArrival() {
+    After(RandomDuration(kMeanRun) / (config_.servers * kRunning), [this] {
+      const bool popular = std::bernoulli_distribution(kPopularFraction)(random_);
+      const std::uint64_t content =
+          popular ? kFirstPopular + RandomIndex(kPopular) : ++last_content_;
+      ++outcome_.innocent;
       Start(RequestFingerprint(content));
-      Arrive();
+      ScheduleArrival();
     });
   }
 
   void StartPoison(int number) {
     const auto content = RequestFingerprint(kFirstPoison + static_cast<std::uint64_t>(number));
     for (int copy = 0; copy < 45; ++copy) {
-      After(5s + number * 18s + copy / kAtOnce * 1s, [this, content] { Start(content); });
+      After(5s + number * 18s + copy / kConcurrentCopies * 1s, [this, content] { Start(content); });
     }
   }
 
   void Start(RequestFingerprint content) {
-    requests_.push_back({content, Draw(kGateways)});
+    requests_.push_back({content, RandomIndex(kGateways)});
     Send(requests_.size() - 1);
   }
 
@@ -125,12 +126,12 @@
     const Suspicion suspicion = guards_[request.gateway]->SuspicionOf(request.content, now_);
     if (suspicion == Suspicion::kQuarantined) {
       if (IsPoison(request.content)) return;
-      ++(AnyAlive() ? outcome_.refused : outcome_.refused_in_outage);
+      ++(AnyAlive() ? outcome_.rejected : outcome_.rejected_in_outage);
       return;
     }
     Server* server =
         suspicion == Suspicion::kLastTrial ? TrialServer(request.content) : AnyServer();
-    if (server == nullptr) return TryAgain(number);
+    if (server == nullptr) return RetryByClient(number);
     ++request.sends;
     Run(number, *server);
   }
@@ -141,8 +142,8 @@
   }
 
   Server* AnyServer() {
-    for (int i = 0; i < 4 * plan_.servers; ++i) {
-      Server& server = servers_[Draw(servers_.size())];
+    for (int i = 0; i < 4 * config_.servers; ++i) {
+      Server& server = servers_[RandomIndex(servers_.size())];
       if (server.backend) return &server;
     }
     return nullptr;
@@ -163,26 +164,26 @@
     const std::uint64_t run = ++requests_[number].run;
     const RequestFingerprint content = requests_[number].content;
     if (IsPoison(content)) {
-      After(kFatalAfter, [this, &server, content, backend = server.backend] {
+      After(kCrashDelay, [this, &server, content, backend = server.backend] {
         if (server.backend != backend) return;
-        ++ends_by_[content];
-        End(server);
+        ++crashes_by_[content];
+        Crash(server);
       });
       return;
     }
-    After(DrawAround(kMeanRun), [this, number, run, &server] {
+    After(RandomDuration(kMeanRun), [this, number, run, &server] {
       if (requests_[number].run != run || server.requests.erase(number) == 0) return;
-      Survived(number);
+      Succeed(number);
     });
   }
 
-  void Survived(std::size_t number) {
+  void Succeed(std::size_t number) {
     const Request& request = requests_[number];
     guards_[request.gateway]->NoteSurvived(request.content, now_);
   }
 
-  void End(Server& server) {
-    ++outcome_.ends;
+  void Crash(Server& server) {
+    ++outcome_.crashes;
     const BackendPtr backend = std::exchange(server.backend, nullptr);
     const std::set<std::size_t> present = std::exchange(server.requests, {});
     std::set<std::size_t> gateways;
@@ -192,38 +193,38 @@
       guards_[request.gateway]->NoteBroken(*backend, request.content, now_);
       gateways.insert(request.gateway);
       const bool again = request.sends < kSends;
-      After(kConfirm, [this, number, again] { again ? Send(number) : TryAgain(number); });
+      After(kConfirmDelay, [this, number, again] { again ? Send(number) : RetryByClient(number); });
     }
     for (const std::size_t gateway : gateways) {
       guards_[gateway]->NoteEnded(*backend, "refused", now_);
     }
-    After(kBack, [this, &server] { server.backend = MakeBackend(); });
+    After(kRestartDelay, [this, &server] { server.backend = MakeBackend(); });
   }
 
   /// The client retries at a random gateway.
-  void TryAgain(std::size_t number) {
-    if (requests_[number].tries >= kTries) return;
-    After(kCallerPause, [this, number] {
+  void RetryByClient(std::size_t number) {
+    if (requests_[number].tries >= kClientTries) return;
+    After(kClientRetryDelay, [this, number] {
       Request& request = requests_[number];
       ++request.tries;
       request.sends = 0;
-      request.gateway = Draw(kGateways);
+      request.gateway = RandomIndex(kGateways);
       Send(number);
     });
   }
 
   std::unique_ptr<PoisonGuard> MakeGuard(std::size_t gateway) {
-    auto guard = std::make_unique<PoisonGuard>(metrics_, plan_.rule);
-    guard->SetNewsListener([this, gateway] { Tell(gateway); });
+    auto guard = std::make_unique<PoisonGuard>(metrics_, config_.rule);
+    guard->SetNewsListener([this, gateway] { Gossip(gateway); });
     return guard;
   }
 
   /// Sends pending updates after a short delay, as the gossip does.
-  void Tell(std::size_t from) {
-    if (!telling_.insert(from).second) return;
+  void Gossip(std::size_t from) {
+    if (!gossiping_.insert(from).second) return;
     After(1ms, [this, from] {
-      telling_.erase(from);
-      After(kNewsWay - 1ms, [this, from, news = guards_[from]->TakeNews()] {
+      gossiping_.erase(from);
+      After(kGossipDelay - 1ms, [this, from, news = guards_[from]->TakeNews()] {
         for (std::size_t i = 0; i < guards_.size(); ++i) {
           if (i != from) guards_[i]->Take(news, now_);
         }
@@ -237,59 +238,60 @@
     return backend;
   }
 
-  void EndIfAlive(Server& server) {
-    if (server.backend) End(server);
+  void CrashIfAlive(Server& server) {
+    if (server.backend) Crash(server);
   }
 
-  void StartTrouble() {
-    switch (plan_.trouble) {
-      case Trouble::kNone:
+  void StartCrashes() {
+    switch (config_.pattern) {
+      case CrashPattern::kNone:
         return;
-      case Trouble::kCrashes:
-        for (Server& server : servers_) CrashNow(server, 30s);
+      case CrashPattern::kIndependent:
+        for (Server& server : servers_) ScheduleCrash(server, 30s);
         return;
-      case Trouble::kRelease:
-        return EndInTurn(10s, std::min<Duration>(kBack + 500ms, Duration(30s) / plan_.servers));
-      case Trouble::kCascade:
-        EndInTurn(5s, 500ms);
-        return EndInTurn(35s, 500ms);
-      case Trouble::kZoneLost:
+      case CrashPattern::kRelease:
+        return CrashSequentially(
+            10s, std::min<Duration>(kRestartDelay + 500ms, Duration(30s) / config_.servers));
+      case CrashPattern::kCascade:
+        CrashSequentially(5s, 500ms);
+        return CrashSequentially(35s, 500ms);
+      case CrashPattern::kZoneLost:
         for (const Duration at : {20s, 40s}) {
           for (std::size_t i = 0; i < servers_.size() / 3 + 1; ++i) {
-            After(at, [this, i] { EndIfAlive(servers_[i]); });
+            After(at, [this, i] { CrashIfAlive(servers_[i]); });
           }
         }
         return;
-      case Trouble::kFlapping:
+      case CrashPattern::kFlapping:
         for (std::size_t i = 0; i < std::max<std::size_t>(servers_.size() / 4, 1); ++i) {
-          CrashNow(servers_[i], 4s);
+          ScheduleCrash(servers_[i], 4s);
         }
     }
   }
 
-  void EndInTurn(Duration first, Duration gap) {
+  void CrashSequentially(Duration first, Duration gap) {
     for (std::size_t i = 0; i < servers_.size(); ++i) {
-      After(first + static_cast<int>(i) * gap, [this, i] { EndIfAlive(servers_[i]); });
+      After(first + static_cast<int>(i) * gap, [this, i] { CrashIfAlive(servers_[i]); });
     }
   }
 
-  void CrashNow(Server& server, Duration mean) {
-    After(DrawAround(mean), [this, &server, mean] {
-      EndIfAlive(server);
-      CrashNow(server, mean);
+  void ScheduleCrash(Server& server, Duration mean) {
+    After(RandomDuration(mean), [this, &server, mean] {
+      CrashIfAlive(server);
+      ScheduleCrash(server, mean);
     });
   }
 
-  CrowdPlan plan_;
+  CrowdPlan config_;
   std::mt19937_64 random_;
   TimePoint now_ = kStart;
   std::vector<Server> servers_;
   Metrics metrics_;
   std::vector<std::unique_ptr<PoisonGuard>> guards_;
-  std::set<std::size_t> telling_;
+  std::set<std::size_t> gossiping_;
   std::deque<Request> requests_;
   std::priority_queue<Event> events_;
-  std::map<RequestFingerprint, std::uint64_t> ends_by_;
+  std::map<RequestFingerprint, std::uint64_t> crashes_by_;
   CrowdOutcome outcome_;
   std::uint64_t last_event_ = 0;
   std::uint64_t last_content_ = kFirstOther;
@@ -298,24 +300,24 @@
 
 }  // namespace
 
-std::string_view NameOf(Trouble trouble) {
-  switch (trouble) {
-    case Trouble::kNone:
+std::string_view NameOf(CrashPattern pattern) {
+  switch (pattern) {
+    case CrashPattern::kNone:
       return "no trouble";
-    case Trouble::kCrashes:
+    case CrashPattern::kIndependent:
       return "crashes";
-    case Trouble::kRelease:
+    case CrashPattern::kRelease:
       return "release without drains";
-    case Trouble::kCascade:
+    case CrashPattern::kCascade:
       return "cascade";
-    case Trouble::kZoneLost:
+    case CrashPattern::kZoneLost:
       return "zone lost";
-    case Trouble::kFlapping:
+    case CrashPattern::kFlapping:
       return "flapping servers";
   }
   return "unknown";
 }
 
-CrowdOutcome PlayCrowd(const CrowdPlan& plan) { return Crowd(plan).Play(); }
+CrowdOutcome PlayCrowd(const CrowdPlan& config) { return Simulation(config).Simulate(); }
 
 }  // namespace ridgehold::test
--- a/libs/gateway/test/poison_detector-test.cc
+++ b/libs/gateway/test/poison_detector-test.cc
@@ -133,24 +133,24 @@
 
 /// Small fleets are simulated with several seeds, so that each run has more than ten thousand
 /// requests.
-CrowdOutcome PlayFleet(CrowdPlan plan) {
-  const int seeds = plan.servers < 10 ? 40 / plan.servers : 1;
+CrowdOutcome SimulateFleet(CrowdPlan config) {
+  const int seeds = config.servers < 10 ? 40 / config.servers : 1;
   CrowdOutcome all;
   for (int seed = 1; seed <= seeds; ++seed) {
-    plan.seed = static_cast<std::uint64_t>(seed);
-    const CrowdOutcome one = PlayCrowd(plan);
-    all.sound += one.sound;
-    all.refused += one.refused;
-    all.refused_in_outage += one.refused_in_outage;
-    all.ends += one.ends;
-    all.most_ends_by_one = std::max(all.most_ends_by_one, one.most_ends_by_one);
+    config.seed = static_cast<std::uint64_t>(seed);
+    const CrowdOutcome one = PlayCrowd(config);
+    all.innocent += one.innocent;
+    all.rejected += one.rejected;
+    all.rejected_in_outage += one.rejected_in_outage;
+    all.crashes += one.crashes;
+    all.max_crashes_by_one = std::max(all.max_crashes_by_one, one.max_crashes_by_one);
   }
-  BOOST_TEST_MESSAGE(plan.servers << " servers, " << NameOf(plan.trouble) << ", "
-                                  << plan.poison_requests << " poison requests: " << all.refused
-                                  << " of " << all.sound << " sound requests refused, "
-                                  << all.refused_in_outage << " while no server was there, "
-                                  << all.ends << " servers ended, most by one "
-                                  << all.most_ends_by_one);
+  BOOST_TEST_MESSAGE(config.servers
+                     << " servers, " << NameOf(config.pattern) << ", " << config.poison_requests
+                     << " poison requests: " << all.rejected << " of " << all.innocent
+                     << " sound requests refused, " << all.rejected_in_outage
+                     << " while no server was there, " << all.crashes
+                     << " servers ended, most by one " << all.max_crashes_by_one);
   return all;
 }
 
@@ -158,49 +158,51 @@
 
 BOOST_AUTO_TEST_CASE(few_innocent_requests_are_taken_for_poison) {
   for (const int servers : {4, 9, 60, 240}) {
-    for (const Trouble trouble :
-         {Trouble::kCrashes, Trouble::kRelease, Trouble::kZoneLost, Trouble::kFlapping}) {
-      const CrowdOutcome outcome = PlayFleet({.servers = servers, .trouble = trouble});
-      BOOST_TEST(outcome.sound > 10'000U);
-      BOOST_TEST(outcome.ends > 0U);
+    for (const CrashPattern pattern : {CrashPattern::kIndependent, CrashPattern::kRelease,
+                                       CrashPattern::kZoneLost, CrashPattern::kFlapping}) {
+      const CrowdOutcome outcome = SimulateFleet({.servers = servers, .pattern = pattern});
+      BOOST_TEST(outcome.innocent > 10'000U);
+      BOOST_TEST(outcome.crashes > 0U);
       // Such a request was running at three crashes, so its client has already waited for seconds.
-      BOOST_TEST(outcome.refused * 5'000 <= outcome.sound);
+      BOOST_TEST(outcome.rejected * 5'000 <= outcome.innocent);
     }
   }
 }
 
 BOOST_AUTO_TEST_CASE(outage_of_a_small_fleet_causes_few_false_positives) {
   for (const int servers : {4, 9}) {
-    const CrowdOutcome outcome = PlayFleet({.servers = servers, .trouble = Trouble::kCascade});
-    BOOST_TEST(outcome.refused * 900 <= outcome.sound);
+    const CrowdOutcome outcome =
+        SimulateFleet({.servers = servers, .pattern = CrashPattern::kCascade});
+    BOOST_TEST(outcome.rejected * 900 <= outcome.innocent);
     // No server could have served these; they would be rejected immediately in any case.
-    BOOST_TEST(outcome.refused_in_outage * 500 <= outcome.sound);
+    BOOST_TEST(outcome.rejected_in_outage * 500 <= outcome.innocent);
   }
 }
 
 BOOST_AUTO_TEST_CASE(poison_request_crashes_few_servers_in_any_fleet) {
   for (const int servers : {4, 9, 60, 240}) {
     const CrowdOutcome outcome =
-        PlayFleet({.servers = servers, .trouble = Trouble::kNone, .poison_requests = 3});
-    BOOST_TEST(outcome.most_ends_by_one >= 3U);
-    BOOST_TEST(outcome.most_ends_by_one <= 5U);
-    BOOST_TEST(outcome.refused * 1'000 <= outcome.sound);
+        SimulateFleet({.servers = servers, .pattern = CrashPattern::kNone, .poison_requests = 3});
+    BOOST_TEST(outcome.max_crashes_by_one >= 3U);
+    BOOST_TEST(outcome.max_crashes_by_one <= 5U);
+    BOOST_TEST(outcome.rejected * 1'000 <= outcome.innocent);
   }
 }
 
 BOOST_AUTO_TEST_CASE(poison_is_detected_among_other_crashes) {
-  for (const Trouble trouble : {Trouble::kCrashes, Trouble::kZoneLost, Trouble::kFlapping}) {
+  for (const CrashPattern pattern :
+       {CrashPattern::kIndependent, CrashPattern::kZoneLost, CrashPattern::kFlapping}) {
     const CrowdOutcome outcome =
-        PlayFleet({.servers = 9, .trouble = trouble, .poison_requests = 3});
-    BOOST_TEST(outcome.most_ends_by_one <= 6U);
-    BOOST_TEST(outcome.refused * 500 <= outcome.sound);
+        SimulateFleet({.servers = 9, .pattern = pattern, .poison_requests = 3});
+    BOOST_TEST(outcome.max_crashes_by_one <= 6U);
+    BOOST_TEST(outcome.rejected * 500 <= outcome.innocent);
   }
 }
 
 BOOST_AUTO_TEST_CASE(without_detection_poison_crashes_many_servers) {
-  CrowdPlan plan{.servers = 9, .trouble = Trouble::kNone, .poison_requests = 1};
-  plan.rule.most_ends = 0;
-  BOOST_TEST(PlayCrowd(plan).most_ends_by_one > 20U);
+  CrowdPlan config{.servers = 9, .pattern = CrashPattern::kNone, .poison_requests = 1};
+  config.rule.most_ends = 0;
+  BOOST_TEST(PlayCrowd(config).max_crashes_by_one > 20U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/gateway/test/poison_guard-test.cc
+++ b/libs/gateway/test/poison_guard-test.cc
@@ -21,7 +21,7 @@
   PoisonGuard guard{metrics, PoisonRule{}};
 
   /// The backend servers with these names crash while running the request.
-  void End(std::initializer_list<const char*> names, TimePoint now = kStart) {
+  void Crash(std::initializer_list<const char*> names, TimePoint now = kStart) {
     for (const char* name : names) {
       const Backend backend = BackendNamed(name);
       guard.NoteBroken(backend, kRequest, now);
@@ -29,7 +29,9 @@
     }
   }
 
-  Suspicion Believed(TimePoint now = kStart) const { return guard.SuspicionOf(kRequest, now); }
+  Suspicion CurrentSuspicion(TimePoint now = kStart) const {
+    return guard.SuspicionOf(kRequest, now);
+  }
 };
 
 }  // namespace
@@ -40,20 +42,20 @@
   for (const char* name : {"a", "b", "c", "d"}) {
     guard.NoteBroken(BackendNamed(name), kRequest, kStart);
   }
-  BOOST_TEST((Believed() == Suspicion::kNone));
+  BOOST_TEST((CurrentSuspicion() == Suspicion::kNone));
   BOOST_TEST(guard.TakeNews().empty());
 }
 
 BOOST_AUTO_TEST_CASE(crash_reports_lead_to_the_same_verdict_at_peers) {
-  End({"a", "b", "c"});
-  BOOST_TEST((Believed() == Suspicion::kQuarantined));
-  const PoisonNews news = guard.TakeNews();
-  BOOST_TEST(news.ends.size() == 3U);
-  BOOST_TEST(news.quarantined.size() == 1U);
+  Crash({"a", "b", "c"});
+  BOOST_TEST((CurrentSuspicion() == Suspicion::kQuarantined));
+  const PoisonNews update = guard.TakeNews();
+  BOOST_TEST(update.ends.size() == 3U);
+  BOOST_TEST(update.quarantined.size() == 1U);
   PoisonGuard other(metrics, PoisonRule{});
-  PoisonNews ends_only;
-  ends_only.ends = news.ends;
-  other.Take(ends_only, kStart);
+  PoisonNews crashes_only;
+  crashes_only.ends = update.ends;
+  other.Take(crashes_only, kStart);
   BOOST_TEST((other.SuspicionOf(kRequest, kStart) == Suspicion::kQuarantined));
   BOOST_TEST(!other.DecidedHere(kRequest));
   BOOST_TEST(guard.DecidedHere(kRequest));
@@ -61,50 +63,50 @@
 
 BOOST_AUTO_TEST_CASE(crashes_seen_by_different_gateways_add_up) {
   PoisonGuard other(metrics, PoisonRule{});
-  End({"a", "b"});
+  Crash({"a", "b"});
   const Backend third = BackendNamed("c");
   other.NoteBroken(third, kRequest, kStart);
   other.NoteEnded(third, "refused", kStart);
   guard.Take(other.TakeNews(), kStart);
-  BOOST_TEST((Believed() == Suspicion::kQuarantined));
+  BOOST_TEST((CurrentSuspicion() == Suspicion::kQuarantined));
 }
 
 BOOST_AUTO_TEST_CASE(copies_queued_at_backend_servers_are_cancelled) {
   std::optional<PoisonGuard::Ticket> ticket;
   std::optional<PoisonGuard::Ticket> other;
-  int withdrawn = 0;
+  int cancelled = 0;
   guard.Watch(ticket, kRequest, [&] {
-    ++withdrawn;
+    ++cancelled;
     ticket.reset();
   });
-  guard.Watch(other, RequestFingerprint(8), [&] { withdrawn += 100; });
-  End({"a", "b", "c"});
-  BOOST_TEST(withdrawn == 1);
+  guard.Watch(other, RequestFingerprint(8), [&] { cancelled += 100; });
+  Crash({"a", "b", "c"});
+  BOOST_TEST(cancelled == 1);
 }
 
 BOOST_AUTO_TEST_CASE(recently_successful_request_is_not_the_cause) {
   guard.NoteSurvived(kRequest, kStart - 1s);
-  End({"a", "b", "c"});
-  BOOST_TEST((Believed() == Suspicion::kSuspect));
+  Crash({"a", "b", "c"});
+  BOOST_TEST((CurrentSuspicion() == Suspicion::kSuspect));
   BOOST_TEST(!guard.TakeNews().survived.empty());
 }
 
 BOOST_AUTO_TEST_CASE(gateway_that_saw_a_success_corrects_its_peers) {
   PoisonGuard other(metrics, PoisonRule{});
   other.NoteSurvived(kRequest, kStart - 1s);
-  End({"a", "b", "c"});
+  Crash({"a", "b", "c"});
   other.Take(guard.TakeNews(), kStart);
   BOOST_TEST((other.SuspicionOf(kRequest, kStart) != Suspicion::kQuarantined));
   guard.Take(other.TakeNews(), kStart);
-  BOOST_TEST((Believed() == Suspicion::kNone));
+  BOOST_TEST((CurrentSuspicion() == Suspicion::kNone));
 }
 
 BOOST_AUTO_TEST_CASE(manual_release_applies_everywhere_and_is_deleted_from_the_store) {
   PoisonGuard other(metrics, PoisonRule{});
-  End({"a", "b", "c"});
+  Crash({"a", "b", "c"});
   other.Take(guard.TakeNews(), kStart);
   BOOST_TEST(guard.Release(kRequest, kStart));
-  BOOST_TEST((Believed() == Suspicion::kNone));
+  BOOST_TEST((CurrentSuspicion() == Suspicion::kNone));
   BOOST_TEST(guard.TakeReleased().size() == 1U);
   other.Take(guard.TakeNews(), kStart);
   BOOST_TEST((other.SuspicionOf(kRequest, kStart) == Suspicion::kNone));
@@ -114,12 +116,12 @@
 // before a peer corrects it. If the key is not deleted, an innocent request is rejected for ten
 // minutes.
 BOOST_AUTO_TEST_CASE(correction_deletes_a_stored_verdict) {
-  End({"a", "b", "c"});
+  Crash({"a", "b", "c"});
   BOOST_REQUIRE(guard.DecidedHere(kRequest));
   PoisonNews correction;
   correction.survived.push_back(kRequest);
   guard.Take(correction, kStart);
-  BOOST_TEST((Believed() == Suspicion::kNone));
+  BOOST_TEST((CurrentSuspicion() == Suspicion::kNone));
   const std::vector<RequestFingerprint> released = guard.TakeReleased();
   BOOST_TEST(released.size() == 1U);
 }
@@ -127,13 +129,13 @@
 BOOST_AUTO_TEST_CASE(stored_verdict_on_a_recently_successful_request_is_deleted) {
   guard.NoteSurvived(kRequest, kStart);
   guard.TakeStored(kRequest, 5min, kStart + 1s);
-  BOOST_TEST((Believed(kStart + 1s) == Suspicion::kNone));
+  BOOST_TEST((CurrentSuspicion(kStart + 1s) == Suspicion::kNone));
   BOOST_TEST(guard.TakeReleased().size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(gateway_that_missed_a_verdict_receives_it_after_its_next_crash_report) {
   PoisonGuard late(metrics, PoisonRule{});
-  End({"a", "b", "c"});
+  Crash({"a", "b", "c"});
   guard.TakeNews();
   const Backend fourth = BackendNamed("d");
   late.NoteBroken(fourth, kRequest, kStart);
@@ -145,7 +147,7 @@
 
 BOOST_AUTO_TEST_CASE(stored_quarantine_is_applied_and_not_written_again) {
   guard.TakeStored(kRequest, 1min, kStart);
-  BOOST_TEST((Believed() == Suspicion::kQuarantined));
+  BOOST_TEST((CurrentSuspicion() == Suspicion::kQuarantined));
   BOOST_TEST(guard.Decided(kStart).empty());
   guard.TakeStored(RequestFingerprint(8), -1s, kStart);
   BOOST_TEST((guard.SuspicionOf(RequestFingerprint(8), kStart) == Suspicion::kNone));
--- a/libs/gateway/test/retry_allowance-test.cc
+++ b/libs/gateway/test/retry_allowance-test.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-const RetryBound kBound{0.2, 56, 10s};
+const RetryBound kLimits{0.2, 56, 10s};
 const ServiceId kService("s");
 const TimePoint kStart{1h};
 
@@ -30,13 +30,13 @@
 
   /// Whether every window of 10 s stays within the limit, based on the requests of that window, the
   /// previous one, or the one starting half a window earlier, whichever has most.
-  bool WithinBound() const {
+  bool WithinLimit() const {
     constexpr int kWindow = 100;
     for (int from = 0; from < static_cast<int>(retries.size()); ++from) {
       const double most =
           std::max({Sum(requests, from, kWindow), Sum(requests, from - kWindow, kWindow),
                     Sum(requests, from - kWindow / 2, kWindow)});
-      if (Sum(retries, from, kWindow) > kBound.ratio * most + kBound.slack) return false;
+      if (Sum(retries, from, kWindow) > kLimits.ratio * most + kLimits.slack) return false;
     }
     return true;
   }
@@ -50,7 +50,7 @@
   const auto gateways = *rc::gen::inRange(1, 12);
   std::vector<RetryAllowance> all;
   for (int i = 0; i < gateways; ++i) {
-    all.emplace_back(kBound);
+    all.emplace_back(kLimits);
     all.back().SetGateways(static_cast<std::uint32_t>(gateways), kStart);
   }
   // Requests per step for each period of 4 s. All attempts fail, so every gateway retries as often
@@ -65,53 +65,53 @@
       for (int request = 0; request < rate; ++request) {
         all[static_cast<std::size_t>(request % gateways)].Earn(kService, now);
       }
-      for (RetryAllowance& allowance : all) {
-        while (allowance.Spend(kService, now)) ++retries;
+      for (RetryAllowance& budget : all) {
+        while (budget.Spend(kService, now)) ++retries;
       }
       totals.requests.push_back(rate);
       totals.retries.push_back(retries);
     }
   }
-  RC_ASSERT(totals.WithinBound());
+  RC_ASSERT(totals.WithinLimit());
 }
 
 // Guards against aborted streams when an engine crashes although the last seconds' requests earned
 // enough retries.
 BOOST_AUTO_TEST_CASE(burst_may_use_budget_earned_in_the_last_window) {
-  RetryAllowance allowance({0.2, 56, 10s});
-  allowance.SetGateways(8, kStart);
-  for (int i = 0; i < 100; ++i) allowance.Earn(kService, kStart + i * 90ms);
+  RetryAllowance budget({0.2, 56, 10s});
+  budget.SetGateways(8, kStart);
+  for (int i = 0; i < 100; ++i) budget.Earn(kService, kStart + i * 90ms);
   int allowed = 0;
-  while (allowance.Spend(kService, kStart + 9s)) ++allowed;
+  while (budget.Spend(kService, kStart + 9s)) ++allowed;
   BOOST_TEST(allowed == 21);
 }
 
 BOOST_AUTO_TEST_CASE(retries_before_the_window_do_not_count) {
-  RetryAllowance allowance({0.2, 10, 10s});
-  while (allowance.Spend(kService, kStart)) {
+  RetryAllowance budget({0.2, 10, 10s});
+  while (budget.Spend(kService, kStart)) {
   }
-  BOOST_TEST(!allowance.Spend(kService, kStart + 9s));
-  BOOST_TEST(allowance.Spend(kService, kStart + 11s));
+  BOOST_TEST(!budget.Spend(kService, kStart + 9s));
+  BOOST_TEST(budget.Spend(kService, kStart + 11s));
 }
 
 BOOST_AUTO_TEST_CASE(limit_holds_in_windows_that_start_at_any_time) {
-  RetryAllowance allowance({0.2, 10, 10s});
-  while (allowance.Spend(kService, kStart + 490ms)) {
+  RetryAllowance budget({0.2, 10, 10s});
+  while (budget.Spend(kService, kStart + 490ms)) {
   }
-  BOOST_TEST(!allowance.Spend(kService, kStart + 10s));
+  BOOST_TEST(!budget.Spend(kService, kStart + 10s));
   // Retries granted at 490 ms may have arrived 700 ms later.
-  BOOST_TEST(!allowance.Spend(kService, kStart + 490ms + 10'700ms));
-  BOOST_TEST(allowance.Spend(kService, kStart + 490ms + 10'701ms));
+  BOOST_TEST(!budget.Spend(kService, kStart + 490ms + 10'700ms));
+  BOOST_TEST(budget.Spend(kService, kStart + 490ms + 10'701ms));
 }
 
 RC_BOOST_PROP(arrivals_stay_within_the_limit_in_every_window_despite_connect_delay, ()) {
-  RetryAllowance allowance({0.2, 5, 10s});
+  RetryAllowance budget({0.2, 5, 10s});
   std::vector<TimePoint> arrivals;
   TimePoint now = kStart;
   for (const int gap : *rc::gen::container<std::vector<int>>(60, rc::gen::inRange(0, 3'000))) {
     now += std::chrono::milliseconds(gap);
-    const std::chrono::milliseconds way(*rc::gen::inRange(0, 701));
-    if (allowance.Spend(kService, now)) arrivals.push_back(now + way);
+    const std::chrono::milliseconds connect_delay(*rc::gen::inRange(0, 701));
+    if (budget.Spend(kService, now)) arrivals.push_back(now + connect_delay);
   }
   for (const TimePoint from : arrivals) {
     const auto in_window = std::ranges::count_if(
@@ -121,42 +121,42 @@
 }
 
 BOOST_AUTO_TEST_CASE(requests_earn_budget_for_one_window) {
-  RetryAllowance allowance({0.2, 10, 10s});
-  for (int i = 0; i < 100; ++i) allowance.Earn(kService, kStart);
+  RetryAllowance budget({0.2, 10, 10s});
+  for (int i = 0; i < 100; ++i) budget.Earn(kService, kStart);
   int allowed = 0;
-  while (allowance.Spend(kService, kStart + 10'001ms)) ++allowed;
+  while (budget.Spend(kService, kStart + 10'001ms)) ++allowed;
   BOOST_TEST(allowed == 8);
 }
 
 BOOST_AUTO_TEST_CASE(slack_is_divided_by_the_maximum_gateway_count_of_the_last_window) {
-  RetryAllowance allowance({0.2, 80, 10s});
+  RetryAllowance budget({0.2, 80, 10s});
   const auto allowed = [&](TimePoint now) {
-    RetryAllowance copy = allowance;
+    RetryAllowance copy = budget;
     int count = 0;
     while (copy.Spend(kService, now)) ++count;
     return count;
   };
-  allowance.SetGateways(8, kStart);
+  budget.SetGateways(8, kStart);
   BOOST_TEST(allowed(kStart) == 8);
   // All leases expire in a store outage, but the gateways keep running.
-  allowance.SetGateways(1, kStart + 1min);
+  budget.SetGateways(1, kStart + 1min);
   BOOST_TEST(allowed(kStart + 1min) == 8);
-  allowance.SetGateways(4, kStart + 1min + 4s);
-  allowance.SetGateways(2, kStart + 1min + 6s);
+  budget.SetGateways(4, kStart + 1min + 4s);
+  budget.SetGateways(2, kStart + 1min + 6s);
   BOOST_TEST(allowed(kStart + 1min + 10'700ms) == 8);
   BOOST_TEST(allowed(kStart + 1min + 10'701ms) == 16);
   BOOST_TEST(allowed(kStart + 1min + 6s + 10'700ms) == 16);
   BOOST_TEST(allowed(kStart + 1min + 6s + 10'701ms) == 32);
   // An increase takes effect immediately.
-  allowance.SetGateways(16, kStart + 1min + 7s);
+  budget.SetGateways(16, kStart + 1min + 7s);
   BOOST_TEST(allowed(kStart + 1min + 7s) == 4);
 }
 
 BOOST_AUTO_TEST_CASE(services_do_not_share_a_budget) {
-  RetryAllowance allowance({0.2, 5, 10s});
-  while (allowance.Spend(ServiceId("a"), kStart)) {
+  RetryAllowance budget({0.2, 5, 10s});
+  while (budget.Spend(ServiceId("a"), kStart)) {
   }
-  BOOST_TEST(allowance.Spend(ServiceId("b"), kStart));
+  BOOST_TEST(budget.Spend(ServiceId("b"), kStart));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
