--- a/libs/control/include/control/decoded_item.h
+++ b/libs/control/include/control/decoded_item.h
@@ -22,7 +22,7 @@
   WeightsNumber number;
 };
 
-/// A key that is not used here.
+/// An item that entry instances do not use.
 struct IgnoredItem {};
 
 /// The decoded content of an item.
--- a/libs/control/include/control/instance_records.h
+++ b/libs/control/include/control/instance_records.h
@@ -19,14 +19,15 @@
 inline constexpr char kInstanceKeyPrefix[] = "ridgehold/";
 inline constexpr char kMemberPrefix[] = "ridgehold/members/";
 inline constexpr char kRolloutHolderKey[] = "ridgehold/rollout-holder";
-/// Followed by an availability zone; names the instance that holds the zone's share of all quotas.
+/// Prefix of the quota holders' keys, followed by an availability zone. The value names the
+/// instance that holds the zone's share of all quotas.
 inline constexpr char kQuotaHolderPrefix[] = "ridgehold/quota-holder/";
 
 /// A live instance, according to its key in the store.
 struct Member {
   std::string address;  ///< without a port
   ZoneId zone;
-  StoreRevision key_revision;  ///< of its key, which each process writes anew
+  StoreRevision key_revision;  ///< of its key, which each process writes again
 
   bool operator==(const Member&) const = default;
 };
@@ -37,7 +38,7 @@
 /// Returns nullopt if `value` is malformed.
 std::optional<Member> DecodeMember(const std::string& value);
 
-/// Local copy of these keys. Not thread-safe.
+/// Local copy of the keys that the instances write. Not thread-safe.
 class InstanceRecords {
  public:
   void Put(const StoreItem& item);
@@ -63,14 +64,15 @@
   std::optional<Member> ZoneRelay(const ZoneId& zone) const;
 
   /// Returns the instance from which `self` receives store updates: the relay of its zone or, for
-  /// that relay, the first of all instances by name. nullopt for that one, which watches the store
-  /// itself. So only one instance watches the store, whatever the size of the fleet, and updates
-  /// arrive over at most two hops. Members whose address is in `unresponsive` are skipped.
+  /// that relay, the first of all instances by name. Returns nullopt for that first instance, which
+  /// watches the store itself. Thus only one instance watches the store, whatever the size of the
+  /// fleet, and updates reach the others over at most two hops. Members whose address is in
+  /// `unresponsive` are skipped.
   std::optional<Member> UpstreamRelay(const Member& self,
                                       const std::set<std::string>& unresponsive) const;
 
  private:
-  /// Decoded once per change, since Members() is called hundreds of times per second.
+  /// Decodes the members once per change, since Members() is called hundreds of times per second.
   void DecodeMembers();
 
   std::map<std::string, StoreItem> items_;
--- a/libs/control/include/control/leased_key.h
+++ b/libs/control/include/control/leased_key.h
@@ -1,4 +1,4 @@
-// Holds a key of the store under a lease, for membership or as a lock that one instance holds.
+// Holds a store key under a lease, for membership or as a distributed lock.
 
 #pragma once
 
@@ -16,9 +16,9 @@
 namespace ridgehold {
 
 /// Acquires the key whenever it is free and keeps its lease alive. The key counts as held only
-/// until the lease expires, measured from the moment before the last renewal was sent. MayAct() is
-/// true only once the previous holder's last action is at least `handover_delay` old. Runs on one
-/// executor.
+/// until the lease expires, counted from just before the last successful renewal was sent. MayAct()
+/// is true only once the previous holder's last action is at least `handover_delay` old. Runs on
+/// one executor.
 template <StateStore Store>
 class LeasedKey {
  public:
@@ -28,8 +28,8 @@
     std::chrono::milliseconds ttl{2'000};
     /// Renewals per `ttl`.
     int renewals_per_ttl = 4;
-    /// Whether to wait until another holder's key is free. Otherwise the key is overwritten: an
-    /// instance's membership key, left behind by its previous process.
+    /// If true, waits while another holder has the key. If false, overwrites the key: an instance's
+    /// membership key can only have been left behind by its previous process.
     bool exclusive = true;
     /// Interval at which the local copy of the store is checked while another holder has the key.
     std::chrono::milliseconds poll_interval{200};
@@ -94,16 +94,17 @@
   /// When the handover delay ends; meaningful while the key is held.
   TimePoint active_from() const { return active_from_; }
 
-  /// Since when no other process can have acted under the key, while it is held: the time of
-  /// acquisition, or the start of this process if a previous process of this instance held the key.
+  /// Start of the period in which no other process can have acted under the key; meaningful while
+  /// the key is held. It is the time of acquisition, or the start of this process if a previous
+  /// process of this instance held the key.
   TimePoint exclusive_since() const { return exclusive_since_; }
 
   /// The revision at which the key was acquired, which is higher for each later holder.
   std::uint64_t fencing_token() const { return fencing_token_; }
 
  private:
-  /// Suffix of the key's value once its holder may have acted: the handover delay after the holder
-  /// before it has passed.
+  /// Suffix of the key's value once the handover delay after the previous holder has passed, so
+  /// that the current holder may have acted.
   static constexpr char kActiveSuffix[] = " acting";
 
   /// Reacquires a key that a previous process of this instance may still hold. No other process can
@@ -163,7 +164,7 @@
     transaction.conditions.push_back({options_.key, revision_});
     transaction.puts.push_back({options_.key, options_.value + kActiveSuffix, *lease_});
     const StoreResult<StoreRevision> written = co_await store_.Commit(std::move(transaction));
-    // Only an earlier mark whose answer was lost can have changed the key.
+    // If the condition failed, an earlier write of the mark was applied and its answer was lost.
     marked_active_ = written.has_value() || written.error() == StoreError::kConditionFailed;
   }
 
--- a/libs/control/include/control/load_durations.h
+++ b/libs/control/include/control/load_durations.h
@@ -17,8 +17,9 @@
   /// Records that a load took `duration` while `concurrency` loads ran, itself included.
   void Record(std::uint32_t concurrency, Duration duration);
 
-  /// Returns the largest concurrency that is worthwhile, at least `default_concurrency`. Untried
-  /// values are assumed to help up to twice the largest one that did.
+  /// Returns the largest concurrency that is worthwhile, at least `default_concurrency`. A
+  /// concurrency that has not been measured yet is assumed to help up to twice the largest one that
+  /// did.
   std::uint32_t MaxUsefulConcurrency(std::uint32_t default_concurrency) const;
 
  private:
--- a/libs/control/include/control/quarantine_writer.h
+++ b/libs/control/include/control/quarantine_writer.h
@@ -19,7 +19,7 @@
 
 namespace ridgehold {
 
-/// Followed by the fingerprint of the request.
+/// Prefix of the quarantines' keys, followed by the fingerprint of the request.
 inline constexpr char kQuarantinePrefix[] = "ridgehold/quarantine/";
 
 /// Encodes a quarantine's value: the instance that wrote it and the wall-clock time at which it
@@ -28,21 +28,21 @@
 /// Returns nullopt if `value` is malformed.
 std::optional<std::chrono::system_clock::time_point> DecodeQuarantine(const std::string& value);
 
-/// Returns nullopt if `key` is not a quarantine's.
+/// Returns the fingerprint in a quarantine's key, or nullopt if `key` is not one.
 std::optional<RequestFingerprint> ParseQuarantineKey(const std::string& key);
 
 /// Writes each quarantine under a lease that expires with it. The instance that observed the
-/// deciding failure writes at once. In case it has died, the other members follow one after another
-/// in the order of their names, so that a large fleet does not write all at once. Peers receive
-/// quarantines sooner by datagram; the store serves instances that start later. Runs on one
-/// executor.
+/// failure which triggered the quarantine writes at once. In case that instance has died, the other
+/// members follow one after another in the order of their names, so that a large fleet does not
+/// write all at once. Peers receive quarantines sooner by datagram; the store serves instances that
+/// start later. Runs on one executor.
 template <StateStore Store>
 class QuarantineWriter {
  public:
   struct Options {
     DaemonId self;
     std::chrono::milliseconds poll_interval{250};
-    /// Delay before the first member writes for another one. A change of the store reaches all
+    /// Delay before the first of the other members writes. A change of the store reaches all
     /// instances within one to two seconds.
     std::chrono::milliseconds takeover_delay{3'000};
     std::chrono::milliseconds delay_per_rank{500};
--- a/libs/control/include/control/rollout_controller.h
+++ b/libs/control/include/control/rollout_controller.h
@@ -1,4 +1,4 @@
-// Rolls new weights out to the engines; one instance at a time does so.
+// Rolls out new weights to the engines. Only the instance that holds the rollout lock does so.
 
 #pragma once
 
@@ -24,10 +24,11 @@
 
 namespace ridgehold {
 
-/// Sends orders only while it certainly holds the rollout lock, and not before the handover delay
-/// after the previous holder (LeasedKey) has passed. Relies on what engines report, not on what was
-/// ordered. The deadline counts from when the weights were named, and concurrency rises as it
-/// approaches. Runs on one executor.
+/// Drains each engine with outdated weights and orders it to load the newest ones. Sends orders
+/// only while it certainly holds the rollout lock and the handover delay after the previous holder
+/// has passed (see LeasedKey). Tracks progress by the engines' reports, not by the orders that were
+/// sent. The deadline is measured from the time at which the operator named the weights; the
+/// concurrency rises as it approaches. Runs on one executor.
 template <BackendControl Control, StateStore Store>
 class RolloutController {
  public:
@@ -67,7 +68,7 @@
   struct StepState {
     TimePoint start{};
     bool answered = false;                ///< it has reported its status
-    std::optional<TimePoint> load_start;  ///< when it began to load or was about to
+    std::optional<TimePoint> load_start;  ///< when its load was about to be ordered
   };
 
   void LogMayOrder(bool may_order) {
@@ -105,7 +106,7 @@
     return pending;
   }
 
-  /// Returns the outdated engines, except those that recently gave no report.
+  /// Returns the outdated engines, except those in back-off because they recently gave no report.
   std::vector<RolloutStep> ResponsiveEngines(TimePoint now) const {
     std::vector<RolloutStep> engines = OutdatedEngines(state_.directory(), state_.named_weights());
     std::erase_if(engines, [&](const RolloutStep& step) {
@@ -158,8 +159,9 @@
     } else if (ApplyReport(step, *report, std::nullopt)) {
       times.outcome = "loaded";
     } else if (CountAnswered() >= ConcurrencyAt(Clock::now())) {
-      // The report was late and other engines are using the concurrency by now. Holding this engine
-      // would only idle it; a later poll starts it again.
+      // The report was late, and the steps of other engines have reached the concurrency limit
+      // meanwhile. Holding requests back from this engine would only leave it idle; a later poll
+      // starts its step again.
       steps_.erase(id);
       co_return;
     } else {
@@ -228,7 +230,8 @@
     }
   }
 
-  /// Renews the hold. Holds are short, so that they expire soon if this instance dies.
+  /// Renews the hold, which keeps new requests away from the engine. Holds are short, so that they
+  /// expire soon if this instance dies.
   void RenewHold(const RolloutStep& step) {
     const TimePoint now = Clock::now();
     if (step.engine->hold_until - now >= options_.hold_duration / 2) return;
@@ -238,7 +241,7 @@
   void BackOff(const RolloutStep& step) {
     const TimePoint now = Clock::now();
     backed_off_[step.engine->entry.id] = now + options_.unresponsive_backoff;
-    // Only its pooled connections may be unresponsive, and not the engine.
+    // Possibly only the pooled connections are unresponsive, and the engine accepts new ones.
     state_.pool().Forget(step.engine->entry.address);
     BackendDirectory::RecordFailure(*step.engine, now);
   }
@@ -275,7 +278,7 @@
   }
 
   /// Returns whether the engine has the weights that it was ordered to load, or the newest ones if
-  /// it was not ordered. Weights that were named in the meantime are a step of their own.
+  /// it was not ordered. Weights that were named in the meantime are loaded in a step of their own.
   bool ApplyReport(const RolloutStep& step, const EngineStatus& report,
                    std::optional<WeightsNumber> ordered) {
     const auto found = report.weights.find(step.model);
--- a/libs/control/include/control/rollout_pace.h
+++ b/libs/control/include/control/rollout_pace.h
@@ -1,4 +1,5 @@
-// Concurrency of a rollout, and how it treats the requests that are running at an engine.
+// Decides how many engines of a rollout load concurrently, how long they drain, and what happens to
+// the requests that they are running.
 
 #pragma once
 
@@ -14,8 +15,8 @@
 
 namespace ridgehold {
 
-/// Trades the deadline for older weights off against the requests at the engines. Takes the current
-/// time as a parameter.
+/// Balances the deadline, after which older weights are too old for new requests, against the
+/// interruption of running requests. Takes the current time as a parameter.
 class RolloutPace {
  public:
   RolloutPace(GatewayState& state, const RolloutOptions& options)
@@ -41,7 +42,8 @@
   /// aborted and resume at other engines, as long as most of them have retry budget. Otherwise they
   /// finish first if that is expected to be short and there is time for the worst case. Otherwise
   /// they continue with the new weights, so that no caller loses a response. When retry budgets
-  /// were ignored, three rollouts in 9 s aborted 100 of 250 streams for good.
+  /// were ignored, three rollouts within 9 s aborted 100 of 250 streams that could not be resumed
+  /// any more.
   ReloadMode ModeFor(const RolloutStep& step, TimePoint now) const;
 
   /// Number of requests at the engine that cannot be resumed elsewhere.
@@ -49,7 +51,8 @@
     return step.engine->unrepeatable + step.engine->peers.unrepeatable;
   }
 
-  /// Number of other requests at the engine for which no instance has retry budget left.
+  /// Number of requests at the engine that could be resumed elsewhere, but whose retry budget is
+  /// used up.
   std::uint32_t Uncovered(const RolloutStep& step, TimePoint now) const {
     return state_.Uncovered(*step.engine, now) + step.engine->peers.uncovered;
   }
--- a/libs/control/include/control/state_follower.h
+++ b/libs/control/include/control/state_follower.h
@@ -25,19 +25,21 @@
 class StateFollower {
  public:
   struct Options {
-    /// An empty watch ends after this long and confirms the configuration. 1 s is less than a third
-    /// of 5 s, the shortest time for which API keys may be trusted without confirmation, so a lost
-    /// watch is tolerated.
+    /// A watch without changes ends after this long, which confirms that the configuration is
+    /// current. 1 s is less than a third of 5 s, the shortest time for which API keys may be
+    /// trusted without confirmation, so a lost watch is tolerated.
     std::chrono::milliseconds watch_timeout{1'000};
-    /// Pause after a watch that returned changes: a rollout writes some twenty keys per second,
-    /// and each would cost every relay a call. The added delay is within a tenth of the time that
-    /// shutdowns of backend servers and configuration changes allow.
+    /// Pause after a watch that returned changes, so that the next watch returns several at once: a
+    /// rollout writes about twenty keys per second, each of which would otherwise cost every relay
+    /// a call. The pause is at most a tenth of the time within which shutdowns of backend servers
+    /// and configuration changes have to take effect.
     std::chrono::milliseconds batch_delay{200};
-    /// Returns whether the copy of a peer is followed at present instead of the store.
+    /// Returns whether updates currently come from a peer's copy of the store instead of the store
+    /// itself.
     std::function<bool()> follows_peer = [] { return false; };
     std::chrono::milliseconds peer_poll_interval{100};
-    /// After the first listing, the store is not called for up to this long, until a peer's copy
-    /// can be followed.
+    /// Maximum time after the first listing for which the store is not called, to wait for a peer
+    /// whose copy can be followed.
     std::chrono::milliseconds relay_wait{0};
     /// Assumed age of items found at the start, whose write time is unknown. Peers provide the
     /// actual age if there are any.
@@ -102,9 +104,9 @@
     state_.ConfirmSnapshot(confirmed);
   }
 
-  /// Applies a peer's copy of the store unless it is older than the own one. The peer's
-  /// configuration was certainly the newest at `confirmed`. Until `settled`, registrations may come
-  /// back after an outage that the peer observed.
+  /// Applies a peer's copy of the store unless it is older than the local one. The peer's
+  /// configuration was certainly the newest at `confirmed`. Until `settled`, missing registrations
+  /// may still come back after an outage that the peer observed.
   void ApplyCopy(std::vector<StoreItem> items, StoreRevision revision, TimePoint confirmed,
                  TimePoint settled = {}) {
     if (revision < revision_) return;
@@ -153,7 +155,7 @@
       if (more) after = page->items.back().key;
     }
     RecordSuccess();
-    // Changes from a peer that arrived while the pages were read win if they are newer.
+    // Changes from a peer that arrived while the pages were read take precedence if they are newer.
     const bool superseded = revision_ > std::max(known, *first_revision);
     if (!superseded) {
       ApplyListing(items);
@@ -189,8 +191,8 @@
 
   net::awaitable<void> WatchOnce() {
     const TimePoint start = Clock::now();
-    // After a failure the watch returns at once, to show early whether the store is back. Until
-    // then, peers that follow this instance ask the store themselves.
+    // After a failure the watch is sent without a wait time, to find out early whether the store
+    // has recovered. Until then, peers that follow this instance call the store themselves.
     const auto wait =
         connectivity_.failing() ? std::chrono::milliseconds(0) : options_.watch_timeout;
     const StoreResult<WatchResult> answer = co_await store_.Watch("", revision_, wait);
@@ -215,11 +217,12 @@
     if (!answer->events.empty()) co_await WaitFor(timer_, options_.batch_delay);
   }
 
-  /// Returns the earliest time at which an item received at `now` can have been written. Limits
+  /// Returns the earliest time at which an item received at `now` can have been written. Age limits
   /// count from the write, and updates are delayed by batching, relays and slow calls.
   StoreItemApplier::WriteTime EarliestWriteTime(TimePoint now) const {
     if (!loaded_) return {now - options_.assumed_age, true};
-    // After an outage the last confirmation says little; the assumption is bounded as at a start.
+    // If the last confirmation is long ago, as after an outage, it hardly limits the possible write
+    // time, which is then marked as assumed.
     const bool is_prompt = now - state_.confirmed_at() <= kMaxUpdateDelay;
     return {std::max<TimePoint>(state_.confirmed_at(), now - options_.assumed_age), !is_prompt};
   }
@@ -308,8 +311,8 @@
     co_await WaitFor(timer_, backoff);
   }
 
-  /// Number of changes kept for peers. Heartbeats of a large fleet and a rollout together make some
-  /// hundred within the half second between two requests of a peer.
+  /// Number of changes kept for peers. Heartbeats of a large fleet and a rollout together cause
+  /// about a hundred within the half second between two requests of a peer.
   static constexpr std::size_t kMaxRecentChanges = 1'000;
   /// The store answers in 4 ms. The answer to a full-length watch that arrives later than this
   /// after its end may have been created early and delayed in transit.
--- a/libs/control/include/control/state_store.h
+++ b/libs/control/include/control/state_store.h
@@ -26,7 +26,7 @@
   kNotSent,          ///< the store was not reached; nothing was applied
   kUnavailable,      ///< the store refused for now; nothing was applied
   kRateLimited,      ///< over the rate limit; nothing was applied
-  kNoAnswer,         ///< sent; it may have been applied, or may be later
+  kNoAnswer,         ///< sent; may have been applied, or may still be
   kCompacted,        ///< the changes that a watch asked for are no longer kept
   kConditionFailed,  ///< a key was not at the expected revision
   kNotFound,         ///< no such key or lease
--- a/libs/control/include/control/store_connectivity.h
+++ b/libs/control/include/control/store_connectivity.h
@@ -39,7 +39,7 @@
   /// without calls.
   void ResetFailures() { failing_since_.reset(); }
 
-  /// Extends the grace period to `grace_end`, since the sender of an applied copy observed an
+  /// Extends the grace period to `grace_end`, since a peer whose copy was applied observed an
   /// outage.
   void ExtendGrace(TimePoint grace_end) { grace_end_ = std::max(grace_end_, grace_end); }
 
@@ -52,9 +52,9 @@
     return std::max(Duration::zero(), std::chrono::duration_cast<Duration>(grace_end_ - now));
   }
 
-  /// Time for which a backend server with a missing registration stays in use. While the own calls
-  /// fail, updates come from peers that may not have observed the outage, so the full grace period
-  /// applies.
+  /// Time for which a backend server with a missing registration stays in use. While this
+  /// instance's calls fail, updates come from peers that may not have observed the outage, so the
+  /// full grace period applies.
   Duration GraceForMissing(TimePoint now) const {
     return failing() ? Duration(kGracePeriod) : RemainingGrace(now);
   }
--- a/libs/control/src/load_durations.cc
+++ b/libs/control/src/load_durations.cc
@@ -5,8 +5,8 @@
 namespace ridgehold {
 namespace {
 
-// Concurrent loads are worthwhile if they take at most this part of the time that the same loads
-// take one batch after another.
+// Concurrent loads are worthwhile if they take at most this fraction of the time that the same
+// loads take one batch after another.
 constexpr double kMaxTimeRatio = 0.8;
 
 }  // namespace
--- a/libs/control/src/rollout_pace.cc
+++ b/libs/control/src/rollout_pace.cc
@@ -8,7 +8,7 @@
 namespace {
 
 // A stream that is aborted and not resumed is lost to its caller; one that continues with the new
-// weights only pauses for the load. One loss weighs as much as this many pauses.
+// weights only pauses for the load. One lost stream weighs as much as this many paused ones.
 constexpr std::uint32_t kPausesPerLoss = 2;
 // Engines whose queue lengths are older than this are left out of the load estimate.
 constexpr std::chrono::milliseconds kMaxLoadAge{1'000};
@@ -44,9 +44,9 @@
 }
 
 Duration RolloutPace::MaxDrainTime(const RolloutStep& step, TimePoint now) const {
-  const double unused_part = 1 - PrefillLoad(step.engine->entry.service, now);
+  const double unused_fraction = 1 - PrefillLoad(step.engine->entry.service, now);
   const Duration span = options_.max_drain - options_.min_drain;
-  return options_.min_drain + std::chrono::duration_cast<Duration>(unused_part * span);
+  return options_.min_drain + std::chrono::duration_cast<Duration>(unused_fraction * span);
 }
 
 double RolloutPace::PrefillLoad(const ServiceId& service, TimePoint now) const {
@@ -77,8 +77,8 @@
   const auto deadline = DeadlineOf(step, now);
   const bool time_left =
       !deadline || now + options_.worst_case_finish + options_.deadline_margin < *deadline;
-  const double speed = state_.TokensPerMs(step.engine->entry.service);
-  const Duration finish = BackendDirectory::ExpectedWait(*step.engine, speed, now);
+  const double tokens_per_ms = state_.TokensPerMs(step.engine->entry.service);
+  const Duration finish = BackendDirectory::ExpectedWait(*step.engine, tokens_per_ms, now);
   // Waiting for resumable streams to finish would block the engine for seconds.
   const bool none_resumable = Unrepeatable(step) >= Running(step);
   const bool short_runs = none_resumable && finish <= options_.max_expected_finish;
--- a/libs/control/test/leased_key-test.cc
+++ b/libs/control/test/leased_key-test.cc
@@ -60,7 +60,7 @@
     return *holders.back();
   }
 
-  /// Simulates a kill, in that no call of `former` reaches the store, and a restart.
+  /// Simulates a kill and a restart: no further call of `previous` reaches the store.
   Holder& Restart(Holder& previous, LeasedKey<MemoryStore>::Options options) {
     previous.store.faults.down = true;
     return AddWith(std::move(options));
@@ -159,7 +159,7 @@
 
 // A restarted instance must reacquire its own key without waiting for its previous lease. Otherwise
 // an instance that held the rollout lock, was killed and was back within half a second waits for
-// itself.
+// its own lease to expire.
 BOOST_AUTO_TEST_CASE(restarted_holder_reacquires_its_key_at_once) {
   Add(1);
   io.run_for(50ms);
@@ -216,7 +216,8 @@
   BOOST_TEST(IsMarkedActive());
 }
 
-// A rollout has ten seconds, so a holder that was active continues at once after its restart.
+// A rollout has to finish within ten seconds, so a holder that was active continues at once after
+// its restart.
 BOOST_AUTO_TEST_CASE(handover_delay_is_skipped_after_a_predecessor_that_was_active) {
   auto options = Holder::Options(0);
   options.handover_delay = 400ms;
--- a/libs/control/test/memory_store.h
+++ b/libs/control/test/memory_store.h
@@ -23,7 +23,8 @@
   double lost_answers = 0;  ///< fraction of calls that are applied but not answered
   double late_writes = 0;  ///< fraction of writes that are applied after `late_by` and not answered
   std::chrono::milliseconds late_by{150};
-  /// If above zero, lists and watches are answered at once and the answer arrives this much later.
+  /// If above zero, listings and watches read the store at once, but their answers arrive this much
+  /// later.
   std::chrono::milliseconds late_reads{0};
 };
 
@@ -208,7 +209,9 @@
   }
 
  private:
-  bool Chance(double part) { return std::uniform_real_distribution<>(0, 1)(random_) < part; }
+  bool Chance(double probability) {
+    return std::uniform_real_distribution<>(0, 1)(random_) < probability;
+  }
 
   net::awaitable<void> Pause(std::chrono::milliseconds time) {
     Timer timer(table_.executor(), time);
--- a/libs/control/test/rollout_controller-test.cc
+++ b/libs/control/test/rollout_controller-test.cc
@@ -24,8 +24,8 @@
  public:
   struct Engine {
     bool silent = false;
-    std::chrono::milliseconds connect_time{0};  ///< before an order can be sent
-    std::chrono::milliseconds request_time{0};  ///< before a load that lets requests finish
+    std::chrono::milliseconds connect_time{0};  ///< time to connect before an order can be sent
+    std::chrono::milliseconds request_time{0};  ///< time that running requests take to finish
     WeightsNumber weights{1};
     std::uint64_t orders = 0;
     std::optional<WeightsNumber> loading;
--- a/libs/control/test/rollout_plan-test.cc
+++ b/libs/control/test/rollout_plan-test.cc
@@ -22,8 +22,8 @@
   BOOST_TEST(RequiredLoadConcurrency(2, std::vector<Duration>(9, -1s), 1s) == 9);
 }
 
-// One engine that was late for a first naming must not raise the concurrency for a second one: five
-// concurrent loads instead of two slowed all of them down.
+// An engine that is still late with weights named earlier must not raise the concurrency for the
+// weights named next: five concurrent loads instead of two slowed all of them down.
 BOOST_AUTO_TEST_CASE(one_late_engine_does_not_raise_the_concurrency_of_others) {
   std::vector<Duration> time_left(8, 6s);
   time_left.push_back(2500ms);
--- a/libs/control/test/state_follower-test.cc
+++ b/libs/control/test/state_follower-test.cc
@@ -306,7 +306,8 @@
   BOOST_TEST(Config() == 3);
 }
 
-// Limits count from the write. Here the pause after an earlier change delays the update.
+// Age limits count from the write to the store. Here the pause after an earlier change delays the
+// update.
 BOOST_AUTO_TEST_CASE(age_of_weights_counts_from_before_their_write) {
   batch_delay = 150ms;
   Start();
