--- a/libs/control/include/control/instance_records.h
+++ b/libs/control/include/control/instance_records.h
@@ -27,7 +27,7 @@
 struct Member {
   std::string address;  ///< without a port
   ZoneId zone;
-  StoreRevision key_revision;  ///< of its key, which each process writes again
+  StoreRevision key_revision;  ///< of its key; each process of the instance writes a new one
 
   bool operator==(const Member&) const = default;
 };
--- a/libs/control/include/control/state_follower.h
+++ b/libs/control/include/control/state_follower.h
@@ -222,7 +222,7 @@
   StoreItemApplier::WriteTime EarliestWriteTime(TimePoint now) const {
     if (!loaded_) return {now - options_.assumed_age, true};
     // If the last confirmation is long ago, as after an outage, it hardly limits the possible write
-    // time, which is then marked as assumed.
+    // time. The assumed age limits it then, as at the start.
     const bool is_prompt = now - state_.confirmed_at() <= kMaxUpdateDelay;
     return {std::max<TimePoint>(state_.confirmed_at(), now - options_.assumed_age), !is_prompt};
   }
@@ -317,7 +317,7 @@
   /// The store answers in 4 ms. The answer to a full-length watch that arrives later than this
   /// after its end may have been created early and delayed in transit.
   static constexpr std::chrono::milliseconds kMaxAnswerDelay{100};
-  /// A working watch delivers changes within its length plus the latency of a slow store.
+  /// A working watch delivers changes within its timeout plus the latency of a slow store.
   static constexpr std::chrono::milliseconds kMaxUpdateDelay{1'500};
 
   Store& store_;
--- a/libs/control/include/control/store_item_applier.h
+++ b/libs/control/include/control/store_item_applier.h
@@ -40,8 +40,8 @@
   /// previous value may no longer hold.
   void RejectBackend(const BackendId& id, TimePoint now);
 
-  /// Replaces all backend servers by the registrations of a full listing. Those that are missing in
-  /// it stay in use for `grace`.
+  /// Replaces all backend servers by the registrations of a full listing. Those that are missing
+  /// from it stay in use for `grace`.
   void ReplaceBackends(const std::vector<BackendEntry>& entries, Duration grace, TimePoint now);
 
   /// Counts and logs a value that cannot be decoded. Nothing else changes.
--- a/libs/control/test/rollout_controller-test.cc
+++ b/libs/control/test/rollout_controller-test.cc
@@ -286,12 +286,12 @@
 }
 
 // Guards against a rollout that misses its deadline, so that requests start on weights that are too
-// old. Ten seconds after the naming, two of seven engines had been updated.
+// old. Ten seconds after the weights were named, two of seven engines had been updated.
 //
-// The conditions: overload, two silent engines, and a lock holder that is killed 1.4 s after the
-// naming and is back half a second later. It waited for its own lease to expire, then 3 s for the
-// handover delay, then 1.5 s for an engine to drain, then 4 s to 5 s for the requests at each
-// engine to finish. Confirmed by the per-step log lines. All times here are a tenth of these.
+// The conditions: overload, two silent engines, and a lock holder that is killed 1.4 s after that
+// and is back half a second later. It waited for its own lease to expire, then 3 s for the handover
+// delay, then 1.5 s for an engine to drain, then 4 s to 5 s for the requests at each engine to
+// finish. Confirmed by the per-step log lines. All times here are a tenth of these.
 BOOST_AUTO_TEST_CASE(deadline_is_met_under_load_with_silent_engines_and_a_killed_lock_holder) {
   GatewayLimits limits;
   limits.older_weights = 1s;
--- a/libs/gateway/include/gateway/backend_directory.h
+++ b/libs/gateway/include/gateway/backend_directory.h
@@ -48,7 +48,7 @@
 struct Backend {
   BackendEntry entry;
   std::map<ModelId, WeightsNumber> weights;  ///< highest version reported by any source
-  std::optional<TimePoint> grace_until;      ///< registration lapsed; removed at this time
+  std::optional<TimePoint> grace_until;      ///< set: its registration lapsed; it is removed then
   bool removed = false;
   bool reachable = true;     ///< as of the last probe
   bool needs_probe = false;  ///< an attempt failed here, or a peer cannot reach it
@@ -61,7 +61,7 @@
   PeerLoad peers;                  ///< load from all other gateways, as far as known
   PeerLoad direct_peers;           ///< load from the gateways that report directly to this one
   TimePoint peers_updated_at{};    ///< when another gateway last updated `peers`
-  TimePoint hold_until{};          ///< no new requests before, if others can take them
+  TimePoint hold_until{};          ///< until then, gets no new requests that others can take
   double unprefilled_tokens = 0;   ///< prompt tokens of requests without a first event
   TimePoint avoid_until{};         ///< backoff after failures, or while it loads weights
   std::uint32_t failures = 0;      ///< consecutive
@@ -78,8 +78,8 @@
 /// Identifies this incarnation of the backend server.
 BackendHash HashOf(const Backend& backend);
 
-/// Whether it is chosen last: it failed or refused a request here, or other gateways report that it
-/// did.
+/// Whether the backend server is chosen only if there is no other: it recently failed or refused a
+/// request of this gateway, or other gateways report that it did.
 inline bool IsAvoided(const Backend& backend, TimePoint now) {
   return backend.avoid_until > now || backend.notice_state.doubted_until() > now;
 }
@@ -92,7 +92,7 @@
   kStale,      ///< from a process that has since been replaced; ignored
 };
 
-/// Not thread-safe; the caller passes in the time.
+/// The backend servers by id. Not thread-safe; takes the current time as a parameter.
 class BackendDirectory {
  public:
   /// Backoff after the first failure; doubled after each consecutive one.
@@ -109,13 +109,14 @@
   Registration Put(const BackendEntry& entry);
 
   /// Sets the services of the configuration. Registrations for other services are kept, in case the
-  /// configuration adds them later, but supersede nobody and get no requests.
+  /// configuration adds them later, but supersede no other backend server and get no requests.
   void SetServices(std::set<ServiceId> services);
   bool IsServed(const ServiceId& service) const {
     return services_.empty() || services_.contains(service);
   }
 
-  /// Called for each incarnation that ended without announcing that it would leave.
+  /// Sets the function that is called for each incarnation that ended without having announced its
+  /// shutdown.
   void SetTerminationListener(std::function<void(const Backend&)> listener) {
     on_termination_ = std::move(listener);
   }
--- a/libs/gateway/include/gateway/exchange_plan.h
+++ b/libs/gateway/include/gateway/exchange_plan.h
@@ -1,5 +1,5 @@
-// The decisions of an exchange that need no connection: plan, backend choice, deadlines and what
-// answers tell.
+// The decisions of an exchange that need no connection: how to handle the request, which backend
+// server to choose, the deadlines, and how to interpret answers.
 
 #pragma once
 
@@ -31,9 +31,10 @@
   TimePoint received{};
   TimePoint answer_by{};  ///< the earlier of the caller's and the route's time limit
   std::optional<int> priority;
-  std::string cache_scope;  ///< identifies who may share cache entries, without the weights
+  /// Identifies the requests that may share cache entries if they run on the same weights.
+  std::string cache_scope;
   std::optional<PromptChain> chain;
-  std::optional<QuotaDemand> quota;  ///< what the request takes of its workspace's quota
+  std::optional<QuotaDemand> quota;  ///< how much of its workspace's quota the request uses
   bool avoid_rate_limited = false;   ///< excludes backend servers with a rate limit
 };
 
@@ -56,7 +57,8 @@
   Duration save_duration{0};              ///< how long saving occupies the link
 };
 
-/// Checks the route, the API key and the configuration's freshness. Fails with the code to answer.
+/// Checks the route, the API key and the configuration's freshness. Fails with the result code to
+/// send to the client.
 Result<ExchangePlan> PlanExchange(const GatewayState& state, const InboundRequest& request,
                                   TimePoint now);
 
@@ -75,23 +77,23 @@
 /// is best spent on the largest ones.
 bool AvoidsRateLimited(const GatewayState& state, const ExchangePlan& plan, TimePoint now);
 
-/// The earliest time at which one of the backend servers that may get the request accepts one, by
-/// its own notices; not before `now`, and nothing if there is none.
+/// The earliest time, not before `now`, at which a backend server that may get the request accepts
+/// requests, according to its own notices. Returns nothing if there is no such backend server.
 std::optional<TimePoint> EarliestCapacity(const GatewayState& state, const ExchangePlan& plan,
                                           const InboundRequest& request,
                                           const std::set<BackendId>& tried, TimePoint now);
 
-/// The retry delay for a refused caller when no time of free capacity is known.
+/// The retry delay for a refused caller when it is not known when capacity will be available.
 std::chrono::milliseconds DefaultRetryAfter(const ExchangePlan& plan);
 
-/// The retry delay for a caller when there is capacity from `capacity_at` on, with jitter by
-/// request id so that callers refused at the same moment do not retry together.
+/// The retry delay for a caller when there is capacity from `capacity_at` on. Adds jitter derived
+/// from the request id, so that callers refused at the same moment do not retry together.
 std::chrono::milliseconds RetryAfterCapacity(const ExchangePlan& plan,
                                              const InboundRequest& request, TimePoint capacity_at,
                                              TimePoint now);
 
 /// Like ChooseFor, among `candidates`, which must not be empty. `answers` are the reports of the
-/// gateways that track them; null if everything is known here.
+/// gateways that track them; null if they were not queried.
 BackendChoice ChooseAmong(GatewayState& state, const ExchangePlan& plan,
                           const InboundRequest& request, std::span<const BackendPtr> candidates,
                           const LoadAnswer* answers, TimePoint now);
--- a/libs/gateway/include/gateway/placement.h
+++ b/libs/gateway/include/gateway/placement.h
@@ -32,7 +32,7 @@
   }
 };
 
-/// Prefixes with fewer shared tokens than this are recomputed sooner than fetched.
+/// Prefixes with fewer shared tokens than this are not fetched, since recomputing them is faster.
 inline constexpr std::uint32_t kMinFetchTokens = 256;
 
 /// Parameters of the placement cost model, in milliseconds unless stated otherwise.
@@ -41,7 +41,8 @@
   double prefill_tokens_per_ms = 56;
   /// Added to the wait for the first event by each running request.
   double per_running_request = 0.6;
-  /// Round trip to another zone, and the price of traffic between zones.
+  /// Cost of a backend server in another zone: the round trip and the price of traffic between
+  /// zones.
   double cross_zone = 6;
   /// Cost of fetching shared parts from another engine, for each call and each token; doubled if it
   /// is in another zone.
@@ -53,14 +54,15 @@
   /// Prefill delays every request queued on the engine, so a fetch may take this many times the
   /// prefill time that it saves.
   double reprefill_factor = 2;
-  /// If false, `prefill_tokens_per_ms` is used whatever the first events show.
+  /// If false, `prefill_tokens_per_ms` is used even when the prefill rate can be estimated.
   bool estimate_prefill_rate = true;
-  /// If false, parts are fetched only from the store where there is one.
+  /// If false, parts are not fetched from other engines when there is a KV cache store.
   bool engines_as_sources = true;
   /// If false, links are assumed to be idle.
   bool watch_links = true;
-  /// Cost of each token of a second copy, which evicts something else. On the larger fleets 0.008
-  /// and 0.02 gave similar results, both better than 0.002.
+  /// Cost of each token that is cached anew on an engine other than the prompt's home, where the
+  /// second copy evicts other entries. On the larger fleets 0.008 and 0.02 gave similar results,
+  /// both better than 0.002.
   double copy_token = 0.01;
   /// Added to the wait of the next call by each running call to a plain service.
   double per_running_call = 20;
@@ -73,14 +75,14 @@
   /// Parts are assumed to be prefilled, and can be fetched, this long after they were added.
   std::chrono::milliseconds prefill_delay{250};
   /// The least recently used fraction of an engine's memory that may already be evicted: running
-  /// requests and recent placements by other gateways are not fully known. Fetching parts that are
-  /// cached after all costs 1 ms.
+  /// requests and recent placements by other gateways are not fully known. A fetch of parts that
+  /// turn out to be cached costs 1 ms.
   double eviction_risk_fraction = 0.3;
   /// Cost of an engine that gets no new requests for now, so that it is chosen only if there is no
   /// other.
   double hold_penalty = 3'000;
-  /// Cost of an engine whose tracking gateway did not answer the load query. It may have a prefill
-  /// queue of this length: longer than the average engine's and shorter than a full one's.
+  /// Cost of an engine whose tracking gateway did not answer the load query. Its prefill queue is
+  /// assumed to take this long: longer than the average engine's and shorter than a full one's.
   double no_report_penalty = 100;
 };
 
@@ -106,11 +108,11 @@
   std::uint64_t cache_tokens = 0;                ///< memory of one engine, in tokens
   std::optional<KvStoreView> store;              ///< the KV cache store, if there is one
   const TransferLinks* links = nullptr;          ///< null: assumed to be idle
-  /// The reports of the gateways that track the candidates; null if everything is known here.
+  /// The reports of the gateways that track the candidates; null if they were not queried.
   const LoadAnswer* answers = nullptr;
   double engine_ms_per_token = 0;    ///< over an engine's link; 0: use PlacementCosts
   RingSegment segment;               ///< engines responsible for the prompt's first part
-  double unheard_gateway_ratio = 0;  ///< requests of unheard gateways per own request
+  double unheard_gateway_ratio = 0;  ///< requests of gateways without reports per own request
   double tokens_per_ms = 0;          ///< prefill rate of the engines; 0: use PlacementCosts
   std::uint64_t tie_break = 0;
   TimePoint now{};
--- a/libs/gateway/src/exchange_plan.cc
+++ b/libs/gateway/src/exchange_plan.cc
@@ -109,7 +109,7 @@
   return engine != nullptr ? engine->link_mbps : 0;
 }
 
-/// Transfer time of one token of KV cache over such a link; 0: not known.
+/// Milliseconds to transfer one token of KV cache over a link of `link_mbps`; 0: not known.
 double LinkMsPerToken(const ExchangePlan& plan, double link_mbps) {
   const EngineProfile* engine = ProfileOf(plan);
   if (engine == nullptr || link_mbps <= 0) return 0;
@@ -186,7 +186,8 @@
 }
 
 bool AvoidsRateLimited(const GatewayState& state, const ExchangePlan& plan, TimePoint now) {
-  // Fewer backend servers without a rate limit could not carry all small requests.
+  // If a smaller fraction of the backend servers had no rate limit, they could not carry all small
+  // requests.
   constexpr double kMinUnlimitedFraction = 0.1;
   const bool small = plan.chain && state.words().AnyLimit(now) &&
                      state.prompt_sizes().IsSmall(plan.service, plan.chain->prompt_tokens);
@@ -206,8 +207,8 @@
     const bool may_take =
         !request.generation || MayStartOnWeights(state, *backend, request.generation->model, now);
     if (tried.contains(backend->entry.id) || !may_take) continue;
-    const TimePoint room = std::max(now, backend->notice_state.barred_until());
-    earliest = earliest ? std::min(*earliest, room) : room;
+    const TimePoint accepts_at = std::max(now, backend->notice_state.barred_until());
+    earliest = earliest ? std::min(*earliest, accepts_at) : accepts_at;
   }
   return earliest;
 }
--- a/libs/gateway/src/placement.cc
+++ b/libs/gateway/src/placement.cc
@@ -165,7 +165,7 @@
     return source;
   }
 
-  /// Describes a source whose link is idle.
+  /// Returns a source with its transfer times, assuming that its link is idle.
   CacheSource SourceAt(std::size_t to, const ZoneId& zone, std::uint32_t tokens, double token_ms,
                        double call_ms) const {
     const double distance = candidates_[to]->entry.zone == zone ? 1 : 2;
@@ -176,8 +176,8 @@
     return source;
   }
 
-  /// Collects once what is the same for all candidates: the engines that parts may be fetched from,
-  /// the contents of the store, and the state of their links.
+  /// Collects in advance what is the same for all candidates: the engines that parts may be fetched
+  /// from, the contents of the store, and the state of their links.
   void FindSources() {
     if (query_.chain->shared_tokens < kMinFetchTokens) return;
     if (query_.store) InspectStore();
@@ -252,8 +252,8 @@
     return costs_.per_running_request * FleetTotal(backend.in_flight, backend.peers.running);
   }
 
-  /// The load of all gateways, assuming that gateways that are not heard send as many requests as
-  /// this one.
+  /// The load of all gateways. Gateways that do not report their load are assumed to send as many
+  /// requests as this one.
   double FleetTotal(double own, double peers) const {
     return own * (1 + query_.unheard_gateway_ratio) + peers;
   }
--- a/libs/gateway/src/polled_choice.cc
+++ b/libs/gateway/src/polled_choice.cc
@@ -11,8 +11,8 @@
 // engine prefills about one and a half long prompts in this time, and objectives are 400 ms and
 // more.
 constexpr double kBusyQueueMs = 100;
-// The same for plain calls, as a placement cost: two running calls and a round trip to another
-// zone.
+// The corresponding threshold for calls to plain services, as a placement cost: two running calls
+// and a round trip to another zone.
 constexpr double kBusyCallCost = 50;
 
 ShortlistQuery QueryFor(GatewayState& state, const ExchangePlan& plan,
@@ -81,7 +81,8 @@
     return query_.chain != nullptr && query_.chain->shared_tokens >= kMinFetchTokens;
   }
 
-  /// The same for all gateways, whatever each knows of individual engines.
+  /// The prompt's home: the same engine for all gateways, whatever each knows of individual
+  /// engines.
   BackendPtr HomeOfPrompt() const {
     const auto engines = state_.directory().Usable(plan_.service, query_.now);
     const auto homes = HomesOf(*query_.chain, RingSegment(), engines, 1);
--- a/libs/gateway/src/shortlist.cc
+++ b/libs/gateway/src/shortlist.cc
@@ -105,8 +105,8 @@
   const bool half_loaded = 2 * loaded.size() >= healthy.size();
   const std::span<const BackendPtr> pool = half_loaded ? std::span(loaded) : healthy;
   Backends list = HomesOf(*query.chain, query.segment, pool, sizes.homes);
-  // While fewer have loaded the newest weights, the best-ranked of those that have is one more
-  // home.
+  // While fewer than half have loaded the newest weights, the best-ranked one of those is added as
+  // one more home.
   if (!half_loaded) Append(list, Excluding(HomesOf(*query.chain, query.segment, loaded, 1), list));
   const Backends others = Excluding(OfZone(query.own_zone, pool), list);
   Append(list, Sample(query.random_seed, others, sizes.random_picks));
@@ -131,7 +131,8 @@
                                 std::span<const BackendPtr> candidates, std::size_t count) {
   if (chain.parts.empty()) return {};
   const std::uint64_t subject = chain.parts.back().hash;
-  // A rare first part keeps one or two engines, instead of alternating between several.
+  // Prompts with a rare first part stay on one or two engines instead of alternating between
+  // several.
   constexpr double kMinEngines = 1.5;
   RingSegment widened = segment;
   widened.length =
