--- a/libs/entry/include/entry/entry_instance.h
+++ b/libs/entry/include/entry/entry_instance.h
@@ -161,8 +161,8 @@
     limits.older_weights = settings.weights_limit - tuning.weights_margin;
     limits.retries = settings.retries;
     limits.quota_tolerance = settings.quota_tolerance;
-    limits.quota_tolerance.granted_part = tuning.quota_tolerance_part;
-    limits.backend_limits.used_part = tuning.limit_tolerance_part;
+    limits.quota_tolerance.granted_fraction = tuning.quota_tolerance_part;
+    limits.backend_limits.used_fraction = tuning.limit_tolerance_part;
     limits.admission = tuning.admission;
     limits.poison = tuning.poison;
     limits.patience_objectives = tuning.call_patience;
@@ -236,7 +236,7 @@
     options.self = settings_.daemon;
     options.address = settings_.instance_address;
     options.port = settings_.first_peer_port;
-    options.most_told = tuning_.most_told;
+    options.max_broadcast_gateways = tuning_.most_told;
     BOOST_LEAF_ASSIGN(
         peers_, PeerLink::Create(state_, std::move(options), records_, settings_.seed_addresses));
     const std::string address =
@@ -263,9 +263,9 @@
     copy.age += std::chrono::milliseconds(1);
     copy.grace = std::chrono::duration_cast<std::chrono::milliseconds>(
         follower_.connectivity().RemainingGrace(Clock::now()));
-    copy.store_lost = follower_.connectivity().failing();
+    copy.store_unreachable = follower_.connectivity().failing();
     auto changes = follower_.ChangesAfter(StoreRevision(std::strtoull(query.c_str(), nullptr, 10)));
-    copy.whole = !changes.has_value();
+    copy.is_snapshot = !changes.has_value();
     if (changes) {
       copy.changes = std::move(*changes);
     } else {
@@ -375,7 +375,7 @@
     while (!done_) {
       const TimePoint now = Clock::now();
       state_.pool().Sweep(now);
-      state_.SetHeardGateways(peers_->peers_heard());
+      state_.SetHeardGateways(peers_->active_peers());
       for (const BackendId& id : state_.directory().Expire(now)) {
         Log(LogLevel::kInfo, "backend gone", {{"backend", id.value()}});
       }
--- a/libs/entry/include/entry/entry_tuning.h
+++ b/libs/entry/include/entry/entry_tuning.h
@@ -48,9 +48,9 @@
   std::chrono::milliseconds duty_turn{250};
   std::size_t duty_turns = 6;
   /// See QuotaTolerance.
-  double quota_tolerance_part = QuotaTolerance().granted_part;
+  double quota_tolerance_part = QuotaTolerance().granted_fraction;
   /// See LimitTolerance.
-  double limit_tolerance_part = LimitTolerance().used_part;
+  double limit_tolerance_part = LimitTolerance().used_fraction;
   /// Holders of quotas act for 0.8 of it without the store: longer than keys are trusted
   /// without one, so a store that is away stops nothing by itself. An instance that ends
   /// takes a zone's share along for so long; the others are enough for workspaces that
--- a/libs/entry/include/entry/quota_duty.h
+++ b/libs/entry/include/entry/quota_duty.h
@@ -55,7 +55,7 @@
       QuotaLink& link = LinkFor(demand.subject);
       return link.Acquire(std::move(demand));
     };
-    asker.give_back = [this](const QuotaTicket& ticket) { LinkOf(ticket.id).GiveBack(ticket); };
+    asker.give_back = [this](const QuotaTicket& ticket) { LinkOf(ticket.id).Refund(ticket); };
     state_.SetQuotaAsker(std::move(asker));
     state_.words().SetLimitListener([this] { begin_timer_.cancel(); });
     net::co_spawn(state_.executor(), HoldKey(), net::detached);
@@ -103,7 +103,7 @@
     return quotas || state_.words().AnyLimit(Clock::now());
   }
 
-  static bool IsBackend(const QuotaSubject& subject) { return BackendIn(subject).has_value(); }
+  static bool IsBackend(const QuotaSubject& subject) { return BackendHashOf(subject).has_value(); }
   QuotaLink& LinkFor(const QuotaSubject& subject) {
     return IsBackend(subject) ? backends_ : workspaces_;
   }
@@ -114,14 +114,14 @@
 
   void Take(const QuotaMessage& message, const std::string& from) {
     if (const auto* request = std::get_if<QuotaRequest>(&message)) {
-      return LinkFor(request->subject).Take(message, from);
+      return LinkFor(request->subject).Handle(message, from);
     }
     if (const auto* reply = std::get_if<QuotaReply>(&message)) {
-      return LinkOf(reply->id).Take(message, from);
+      return LinkOf(reply->id).Handle(message, from);
     }
     // A refund names no subject; the holder that did not grant it knows nothing of it.
-    workspaces_.Take(message, from);
-    backends_.Take(message, from);
+    workspaces_.Handle(message, from);
+    backends_.Handle(message, from);
   }
 
   std::string Key() const { return kQuotaHolderPrefix + settings_.zone.value(); }
@@ -161,35 +161,35 @@
     return {"backends", settings_.instance_address, 1, DrawIncarnation()};
   }
 
-  QuotaLink::Surroundings CommonSurroundings() {
-    QuotaLink::Surroundings surroundings;
+  QuotaLink::Callbacks CommonSurroundings() {
+    QuotaLink::Callbacks surroundings;
     surroundings.send = [this](const std::string& to, const QuotaMessage& message) {
       Send(to, message);
     };
-    surroundings.find_taking = [this](TimePoint now) { return Taking(now); };
+    surroundings.find_lease = [this](TimePoint now) { return Taking(now); };
     return surroundings;
   }
-  QuotaLink::Surroundings WorkspaceLink() {
-    QuotaLink::Surroundings surroundings = CommonSurroundings();
+  QuotaLink::Callbacks WorkspaceLink() {
+    QuotaLink::Callbacks surroundings = CommonSurroundings();
     surroundings.find_holders = [this](const QuotaSubject& /*subject*/) { return Holders(); };
     surroundings.find_lenders = [this] { return Holders().others; };
-    surroundings.take_new_terms = [this] { return TakeNewTerms(); };
+    surroundings.take_changed_limits = [this] { return TakeNewTerms(); };
     return surroundings;
   }
-  QuotaLink::Surroundings BackendLink() {
-    QuotaLink::Surroundings surroundings = CommonSurroundings();
+  QuotaLink::Callbacks BackendLink() {
+    QuotaLink::Callbacks surroundings = CommonSurroundings();
     surroundings.find_holders = [this](const QuotaSubject& subject) {
       return HolderOfBackend(subject);
     };
     surroundings.find_lenders = [] { return std::vector<std::string>(); };
-    surroundings.take_new_terms = [this] { return state_.words().TakeNewTerms(); };
+    surroundings.take_changed_limits = [this] { return state_.words().TakeNewTerms(); };
     return surroundings;
   }
 
   /// All instances find the same one: two would grant the limit twice.
   QuotaHolders HolderOfBackend(const QuotaSubject& subject) const {
     const BackendPtr backend =
-        state_.directory().FindByHash(BackendIn(subject).value_or(BackendHash{0}));
+        state_.directory().FindByHash(BackendHashOf(subject).value_or(BackendHash{0}));
     if (!backend) return {};
     const auto holders = HoldersByZone();
     const auto found = holders.find(CountingZone(*backend));
@@ -226,20 +226,20 @@
     return settings_.cpu_share >= kMuchProcessor ? std::min<std::size_t>(before, 1) : before + 1;
   }
 
-  std::optional<QuotaHolder::Taking> Taking(TimePoint now) const {
+  std::optional<QuotaHolder::Lease> Taking(TimePoint now) const {
     if (!key_.MayAct(now)) return std::nullopt;
-    return QuotaHolder::Taking{key_.fencing_token(), key_.exclusive_since()};
+    return QuotaHolder::Lease{key_.fencing_token(), key_.exclusive_since()};
   }
 
-  std::map<QuotaSubject, QuotaTerms> TakeNewTerms() {
-    std::map<QuotaSubject, QuotaTerms> terms;
+  std::map<QuotaSubject, QuotaLimits> TakeNewTerms() {
+    std::map<QuotaSubject, QuotaLimits> terms;
     const auto& snapshot = state_.snapshot();
     if (!snapshot || snapshot->version() == terms_of_) return terms;
     terms_of_ = snapshot->version();
     for (const WorkspaceRule& workspace : snapshot->workspaces()) {
       if (!workspace.quota) continue;
-      terms[SubjectOf(workspace.id)] =
-          TermsOf(*workspace.quota, state_.limits().quota_tolerance, snapshot->version().value());
+      terms[WorkspaceSubject(workspace.id)] = EffectiveLimits(
+          *workspace.quota, state_.limits().quota_tolerance, snapshot->version().value());
     }
     return terms;
   }
--- a/libs/entry/src/state_dump.cc
+++ b/libs/entry/src/state_dump.cc
@@ -65,11 +65,11 @@
   json used = json::array();
   for (const QuotaHolder::Usage& usage : usages) {
     used.push_back({{"workspace", usage.subject.value()},
-                    {"config", usage.terms.config_version},
+                    {"config", usage.limits.config_version},
                     {"left", usage.level},
                     {"granted", usage.granted},
                     {"refused", usage.refused},
-                    {"borrowed_for", usage.borrowed_for},
+                    {"borrowed_for", usage.requests_with_loans},
                     {"waiting", usage.waiting}});
   }
   const json dump = {{"config", snapshot ? snapshot->version().value() : 0},
@@ -99,10 +99,10 @@
   json counted = json::array();
   for (const QuotaHolder::Usage& usage : usages) {
     const BackendPtr backend =
-        state.directory().FindByHash(BackendIn(usage.subject).value_or(BackendHash{0}));
+        state.directory().FindByHash(BackendHashOf(usage.subject).value_or(BackendHash{0}));
     counted.push_back({{"backend", backend ? backend->entry.id.value() : "gone"},
-                       {"number", usage.terms.config_version},
-                       {"left", usage.level / static_cast<double>(kTokensOfRequest)},
+                       {"number", usage.limits.config_version},
+                       {"left", usage.level / static_cast<double>(kQuotaTokensPerRequest)},
                        {"granted", usage.granted},
                        {"refused", usage.refused}});
   }
--- a/libs/gateway/include/gateway/backend_words.h
+++ b/libs/gateway/include/gateway/backend_words.h
@@ -46,9 +46,9 @@
 
   QuotaSubject SubjectFor(const Backend& backend) const;
   /// Quota terms of its limit. Requires that it has one.
-  QuotaTerms TermsFor(const Backend& backend) const;
+  QuotaLimits TermsFor(const Backend& backend) const;
   /// Removes and returns the terms that have changed since the last call.
-  std::map<QuotaSubject, QuotaTerms> TakeNewTerms() { return std::exchange(new_terms_, {}); }
+  std::map<QuotaSubject, QuotaLimits> TakeNewTerms() { return std::exchange(new_terms_, {}); }
 
  private:
   static BackendNews NewsOf(const Backend& backend, TimePoint now);
@@ -59,7 +59,7 @@
   BackendDirectory& directory_;
   LimitTolerance tolerance_;
   BackendNewsList news_;
-  std::map<QuotaSubject, QuotaTerms> new_terms_;
+  std::map<QuotaSubject, QuotaLimits> new_terms_;
   TimePoint counted_until_{};
   std::function<void()> on_news_;
   std::function<void()> on_limit_;
--- a/libs/gateway/src/backend_permit.cc
+++ b/libs/gateway/src/backend_permit.cc
@@ -44,7 +44,7 @@
     case QuotaVerdict::kNotHolder:
       break;
   }
-  const bool may_send = MayUseFallback(backend, outcome.asked > 0, requester, now);
+  const bool may_send = MayUseFallback(backend, outcome.messages_sent > 0, requester, now);
   return may_send ? PermitVerdict::kUncounted : PermitVerdict::kNobodyCounts;
 }
 
@@ -54,8 +54,8 @@
   const TimePoint start = Clock::now();
   QuotaDemand demand;
   demand.subject = state.words().SubjectFor(*backend);
-  demand.tokens = kTokensOfRequest;
-  demand.terms = state.words().TermsFor(*backend);
+  demand.tokens = kQuotaTokensPerRequest;
+  demand.limits = state.words().TermsFor(*backend);
   const QuotaOutcome outcome = co_await state.AcquireQuota(std::move(demand));
   const TimePoint now = Clock::now();
   permit.took = std::chrono::duration_cast<Duration>(now - start);
--- a/libs/gateway/src/backend_words.cc
+++ b/libs/gateway/src/backend_words.cc
@@ -106,11 +106,11 @@
 }
 
 QuotaSubject BackendWords::SubjectFor(const Backend& backend) const {
-  return SubjectOfBackend(HashOf(backend));
+  return BackendSubject(HashOf(backend));
 }
 
-QuotaTerms BackendWords::TermsFor(const Backend& backend) const {
-  return TermsOf(*backend.notice_state.limit(), tolerance_, backend.notice_state.number());
+QuotaLimits BackendWords::TermsFor(const Backend& backend) const {
+  return EffectiveLimits(*backend.notice_state.limit(), tolerance_, backend.notice_state.number());
 }
 
 }  // namespace ridgehold
--- a/libs/gateway/src/exchange_plan.cc
+++ b/libs/gateway/src/exchange_plan.cc
@@ -91,11 +91,12 @@
         std::uint64_t{request.generation->prompt_tokens} + request.generation->max_output_tokens;
   }
   QuotaDemand demand;
-  demand.subject = SubjectOf(plan.workspace->id);
+  demand.subject = WorkspaceSubject(plan.workspace->id);
   demand.tokens = quota.CostOf(tokens);
-  demand.terms = TermsOf(quota, state.limits().quota_tolerance, plan.snapshot->version().value());
-  demand.patience_until = plan.received + plan.route->latency_objective / 4;
-  demand.long_patience_until = plan.received + (plan.answer_by - plan.received) / 2;
+  demand.limits =
+      EffectiveLimits(quota, state.limits().quota_tolerance, plan.snapshot->version().value());
+  demand.deadline = plan.received + plan.route->latency_objective / 4;
+  demand.recovery_deadline = plan.received + (plan.answer_by - plan.received) / 2;
   return demand;
 }
 
--- a/libs/gateway/src/request_log.cc
+++ b/libs/gateway/src/request_log.cc
@@ -78,7 +78,7 @@
   fields.push_back({"quota_tokens", std::to_string(record.quota_tokens)});
   fields.push_back({"quota_holder", record.quota->ticket.holder});
   fields.push_back({"quota_ms", MillisecondsText(record.quota_latency)});
-  fields.push_back({"quota_asked", std::to_string(record.quota->asked)});
+  fields.push_back({"quota_asked", std::to_string(record.quota->messages_sent)});
   if (record.quota->retry_after == Duration::zero()) return;
   fields.push_back({"quota_fits_in_ms", MillisecondsText(record.quota->retry_after)});
 }
--- a/libs/gateway/test/backend_word-test.cc
+++ b/libs/gateway/test/backend_word-test.cc
@@ -19,7 +19,7 @@
 
 BackendNotice Limit(double per_second) {
   BackendNotice notice;
-  notice.limit = RequestRate::Of(per_second);
+  notice.limit = RequestRate::FromPerSecond(per_second);
   return notice;
 }
 
@@ -45,7 +45,7 @@
   BackendWord word;
   BOOST_TEST(word.TakeNotice(Limit(1.5), kStart, kStart + 10ms));
   BOOST_TEST(!word.TakeNotice(Limit(1.5), kStart + 20ms, kStart + 30ms));
-  BOOST_TEST((word.limit() == RequestRate::Of(1.5)));
+  BOOST_TEST((word.limit() == RequestRate::FromPerSecond(1.5)));
   BOOST_TEST(word.TakeNotice({}, kStart + 40ms, kStart + 50ms));
   BOOST_TEST(!word.limit().has_value());
 }
@@ -64,7 +64,7 @@
   BackendNotice unreadable;
   unreadable.limit_unreadable = true;
   BOOST_TEST(!word.TakeNotice(unreadable, kStart + 20ms, kStart + 30ms));
-  BOOST_TEST((word.limit() == RequestRate::Of(1.5)));
+  BOOST_TEST((word.limit() == RequestRate::FromPerSecond(1.5)));
 }
 
 BOOST_AUTO_TEST_CASE(newest_update_wins_in_any_order) {
@@ -77,17 +77,17 @@
   BOOST_TEST(!receiver.TakeNews(second, kStart));
   // The sender of the first update has older state.
   BOOST_TEST(receiver.TakeNews(first, kStart));
-  BOOST_TEST((receiver.limit() == RequestRate::Of(3)));
+  BOOST_TEST((receiver.limit() == RequestRate::FromPerSecond(3)));
   BOOST_TEST(!receiver.TakeNews(second, kStart));
 }
 
 BOOST_AUTO_TEST_CASE(stricter_limit_wins_for_equal_numbers) {
-  const BackendNews high{kBackend, 1, RequestRate::Of(3), false, {}};
-  const BackendNews low{kBackend, 1, RequestRate::Of(2), false, {}};
+  const BackendNews high{kBackend, 1, RequestRate::FromPerSecond(3), false, {}};
+  const BackendNews low{kBackend, 1, RequestRate::FromPerSecond(2), false, {}};
   for (const auto& order : {std::vector{high, low}, std::vector{low, high}}) {
     BackendWord word;
     for (const BackendNews& update : order) word.TakeNews(update, kStart);
-    BOOST_TEST((word.limit() == RequestRate::Of(2)));
+    BOOST_TEST((word.limit() == RequestRate::FromPerSecond(2)));
   }
 }
 
@@ -210,7 +210,7 @@
   const BackendNewsList again =
       registry.Refreshed({{{HashOf(*backend), 1, {}, false, {}}}}, kStart + 1s);
   BOOST_REQUIRE(again.items.size() == 1U);
-  BOOST_TEST((again.items.front().limit == RequestRate::Of(1 + 999 / 100.0)));
+  BOOST_TEST((again.items.front().limit == RequestRate::FromPerSecond(1 + 999 / 100.0)));
 }
 
 // Without a quota holder, gateways that cannot reach each other together stay within a fraction of
--- a/libs/peers/include/peers/backend_gossip.h
+++ b/libs/peers/include/peers/backend_gossip.h
@@ -1,4 +1,4 @@
-// What is to be told of backend servers' own words.
+// Gossip of the notices that backend servers give about themselves.
 
 #pragma once
 
@@ -7,8 +7,8 @@
 
 namespace ridgehold {
 
-inline void AppendNews(BackendNewsList& to, const BackendNewsList& news, std::size_t most) {
-  AppendItems(to.items, news.items, most);
+inline void AppendNews(BackendNewsList& to, const BackendNewsList& news, std::size_t max_items) {
+  AppendItems(to.items, news.items, max_items);
 }
 
 using BackendGossip = Gossip<BackendNewsList>;
--- a/libs/peers/include/peers/gossip.h
+++ b/libs/peers/include/peers/gossip.h
@@ -1,4 +1,4 @@
-// What is to be told to all gateways, and how often.
+// Repeated broadcast of updates to all gateways.
 
 #pragma once
 
@@ -15,70 +15,71 @@
 
 namespace ridgehold {
 
-/// News that may be told again without harm, and be put together to one message.
+/// Updates that are idempotent and can be merged into one message.
 template <class News>
-concept Tellable = requires(const News& news, News& sum, std::size_t most) {
+concept Mergeable = requires(const News& news, News& sum, std::size_t max_items) {
   { news.empty() } -> std::convertible_to<bool>;
-  AppendNews(sum, news, most);
+  AppendNews(sum, news, max_items);
 };
 
-/// Appends what `to` has room for, which holds `most` items.
+/// Appends items until `to` holds `max_items`.
 template <class Item>
-void AppendItems(std::vector<Item>& to, const std::vector<Item>& items, std::size_t most) {
-  const std::size_t room = most - std::min(most, to.size());
+void AppendItems(std::vector<Item>& to, const std::vector<Item>& items, std::size_t max_items) {
+  const std::size_t room = max_items - std::min(max_items, to.size());
   const auto end = items.begin() + static_cast<std::ptrdiff_t>(std::min(room, items.size()));
   to.insert(to.end(), items.begin(), end);
 }
 
-/// Datagrams get lost, some in a hundred on a bad link, and a gateway that misses an item
-/// does once more what it should not. So each item is told three times. Not thread-safe;
-/// time comes in as a value.
-template <Tellable News>
+/// Datagrams are lost, about one in a hundred on a bad link, and a gateway that misses an item
+/// repeats a mistake that the item would have prevented. Each item is therefore sent three times.
+/// Not thread-safe; time is passed in.
+template <Mergeable News>
 class Gossip {
  public:
-  /// When an item is told, after it came up. What breaks off at one end comes within a
-  /// millisecond and goes out together.
-  static constexpr std::array<std::chrono::milliseconds, 3> kTellings{
+  /// When an item is sent, after it was added. Connections broken by one crash are reported within
+  /// a millisecond and go out together.
+  static constexpr std::array<std::chrono::milliseconds, 3> kSendSchedule{
       std::chrono::milliseconds{1}, std::chrono::milliseconds{100}, std::chrono::milliseconds{500}};
-  /// Items in one datagram, some 20 kB at most.
-  static constexpr std::size_t kMostTold = 1'000;
-  /// Batches that wait; the oldest go. Many for one second.
-  static constexpr std::size_t kMostBatches = 1'000;
+  /// Limit on items in one datagram, which is then about 20 kB.
+  static constexpr std::size_t kMaxItemsPerMessage = 1'000;
+  /// Limit on pending batches; the oldest are evicted. Far more than arise in a second.
+  static constexpr std::size_t kMaxBatches = 1'000;
 
   void Add(News news, TimePoint now) {
     if (news.empty()) return;
-    if (batches_.size() >= kMostBatches) batches_.pop_front();
+    if (batches_.size() >= kMaxBatches) batches_.pop_front();
     batches_.push_back({std::move(news), now});
   }
 
-  /// Takes out what is due.
+  /// Returns the items that are due and advances their schedule.
   News TakeDue(TimePoint now) {
     News due;
     for (Batch& batch : batches_) {
-      if (now < batch.Due()) continue;
-      AppendNews(due, batch.news, kMostTold);
-      ++batch.told;
+      if (now < batch.NextSend()) continue;
+      AppendNews(due, batch.news, kMaxItemsPerMessage);
+      ++batch.send_count;
     }
-    std::erase_if(batches_, [](const Batch& batch) { return batch.told >= kTellings.size(); });
+    std::erase_if(batches_,
+                  [](const Batch& batch) { return batch.send_count >= kSendSchedule.size(); });
     return due;
   }
 
-  /// When something is due next; far ahead if nothing is.
+  /// Returns when an item is due next; far in the future if none is pending.
   TimePoint NextDue(TimePoint now) const {
-    TimePoint next = now + kNothingDue;
-    for (const Batch& batch : batches_) next = std::min(next, batch.Due());
+    TimePoint next = now + kIdleInterval;
+    for (const Batch& batch : batches_) next = std::min(next, batch.NextSend());
     return next;
   }
 
  private:
-  static constexpr std::chrono::seconds kNothingDue{60};
+  static constexpr std::chrono::seconds kIdleInterval{60};
 
   struct Batch {
     News news;
-    TimePoint came_up{};
-    std::size_t told = 0;
+    TimePoint added_at{};
+    std::size_t send_count = 0;
 
-    TimePoint Due() const { return came_up + kTellings[told]; }
+    TimePoint NextSend() const { return added_at + kSendSchedule[send_count]; }
   };
 
   std::deque<Batch> batches_;
--- a/libs/peers/include/peers/load_messages.h
+++ b/libs/peers/include/peers/load_messages.h
@@ -1,4 +1,4 @@
-// Questions to the gateways that track backend servers, and answers, as datagrams.
+// Datagrams that query the gateways that track backend servers, and their answers.
 
 #pragma once
 
@@ -18,12 +18,12 @@
 
 namespace ridgehold {
 
-/// A question to one gateway.
+/// A query to one gateway.
 struct LoadQuestionMessage {
-  DaemonId daemon;       ///< that asks
-  std::uint64_t id = 0;  ///< comes back with the answer
+  DaemonId daemon;       ///< the sender
+  std::uint64_t id = 0;  ///< echoed in the answer
   std::vector<BackendHash> backends;
-  std::vector<SharedPart> parts;  ///< without tokens
+  std::vector<SharedPart> parts;  ///< token counts are not sent
   ModelId model;
   WeightsNumber weights;
   std::optional<LinkHash> store;
@@ -31,9 +31,9 @@
   bool wants_holders = false;
 };
 
-/// Its answer.
+/// The answer to a LoadQuestionMessage.
 struct LoadAnswerMessage {
-  DaemonId daemon;  ///< that answers
+  DaemonId daemon;  ///< the sender
   std::uint64_t id = 0;
   std::vector<BackendReport> backends;
   std::optional<StoreReport> store;
@@ -42,7 +42,7 @@
   std::vector<AnnouncementUpdate> namings;
 };
 
-/// A datagram between gateways.
+/// Any datagram between gateways.
 using PeerMessage = std::variant<GossipMessage, LoadQuestionMessage, LoadAnswerMessage, PoisonNews,
                                  BackendNewsList, QuotaMessage>;
 
--- a/libs/peers/include/peers/load_asker.h
+++ b/libs/peers/include/peers/load_query_service.h
@@ -1,4 +1,4 @@
-// Asks the gateways that track backend servers, and answers for those tracked here.
+// Queries the gateways that track backend servers, and answers queries about those tracked here.
 
 #pragma once
 
@@ -17,40 +17,39 @@
 
 namespace ridgehold {
 
-/// A question goes to each tracker once, as a datagram; what is not answered
-/// within the limit is left open. Runs on one executor, as long as that does.
-class LoadAsker {
+/// A query is sent once to each tracker, as a datagram; trackers that do not answer in time are
+/// left out of the result. Runs on one executor, and must live as long as it runs.
+class LoadQueryService {
  public:
   struct Options {
     DaemonId self;
     std::string address;  ///< without a port
-    /// A round trip between zones takes 2 to 6 ms, and a gateway with an eighth of
-    /// a core some 10 ms for a request that it is at; a tenth of what a call may
-    /// take in all.
-    std::chrono::milliseconds limit{15};
+    /// A round trip between zones takes 2 to 6 ms, and a gateway limited to an eighth of a core may
+    /// be busy with a request for about 10 ms. This is a tenth of what a call may take in total.
+    std::chrono::milliseconds timeout{15};
   };
 
   /// Sends a datagram to a gateway.
   using SendTo = std::function<void(const TrackerMap::Gateway& gateway, const std::string& bytes)>;
 
-  LoadAsker(GatewayState& state, const PeerLoads& loads, TrackerMap& trackers, Options options,
-            SendTo send)
+  LoadQueryService(GatewayState& state, const PeerLoads& loads, TrackerMap& trackers,
+                   Options options, SendTo send)
       : state_(state),
         loads_(loads),
         trackers_(trackers),
         options_(std::move(options)),
         send_(std::move(send)) {}
 
-  net::awaitable<LoadAnswer> Ask(LoadQuestion question);
+  net::awaitable<LoadAnswer> Query(LoadQuestion question);
 
-  /// What this gateway knows of what it is asked about.
+  /// Answers a query with what this gateway knows.
   LoadAnswerMessage Answer(const LoadQuestionMessage& question, TimePoint now) const;
 
-  /// An answer has come from `address`.
-  void Take(const LoadAnswerMessage& answer, const std::string& address);
+  /// Handles an answer from the gateway at `address`.
+  void HandleAnswer(const LoadAnswerMessage& answer, const std::string& address);
 
  private:
-  /// A question that waits for answers.
+  /// A query that awaits answers.
   struct Pending {
     explicit Pending(net::any_io_executor executor) : timer(executor) {}
 
@@ -58,15 +57,15 @@
     std::set<std::string> waiting;  ///< addresses
     Timer timer;
   };
-  /// The parts of a question, by the tracker they go to.
+  /// The part of a query that goes to one tracker.
   struct Part {
     const TrackerMap::Gateway* tracker = nullptr;
     LoadQuestionMessage message;
   };
 
-  std::map<std::string, Part> Divide(const LoadQuestion& question, TimePoint now) const;
-  static void AddTo(LoadAnswer& answer, const LoadAnswerMessage& message);
-  void NoteUnanswered(const Pending& pending, TimePoint now);
+  std::map<std::string, Part> SplitByTracker(const LoadQuestion& question, TimePoint now) const;
+  static void MergeInto(LoadAnswer& answer, const LoadAnswerMessage& message);
+  void RecordUnanswered(const Pending& pending, TimePoint now);
 
   GatewayState& state_;
   const PeerLoads& loads_;
--- a/libs/peers/include/peers/news_codec.h
+++ b/libs/peers/include/peers/news_codec.h
@@ -1,4 +1,4 @@
-// Gateways' messages as datagrams.
+// Encodes and decodes gateway updates as datagrams.
 
 #pragma once
 
--- a/libs/peers/include/peers/peer_link.h
+++ b/libs/peers/include/peers/peer_link.h
@@ -1,4 +1,4 @@
-// Sends this gateway's news to the others and takes theirs, as datagrams.
+// Exchanges state updates with the other gateways, as datagrams.
 
 #pragma once
 
@@ -17,7 +17,7 @@
 #include "net/beast.h"
 #include "net/timer.h"
 #include "peers/backend_gossip.h"
-#include "peers/load_asker.h"
+#include "peers/load_query_service.h"
 #include "peers/peer_loads.h"
 #include "peers/poison_gossip.h"
 #include "peers/tracked_news.h"
@@ -25,92 +25,93 @@
 
 namespace ridgehold {
 
-/// Best effort: a lost message is made good by the next one. Datagrams, since
-/// late news is worth nothing and a connection to a dead peer would hold up
-/// what follows. In a small fleet all are told; in a large one those that track
-/// the backend servers concerned (TrackerMap), which are asked before a choice.
-/// Runs on one executor.
+/// Best effort: a lost message is made up for by the next one. Uses datagrams, since late updates
+/// are worthless and a connection to a dead peer would cause head-of-line blocking. In a small
+/// fleet updates are broadcast; in a large one they go to the gateways that track the backend
+/// servers concerned (TrackerMap), which are queried before a request is placed. Runs on one
+/// executor.
 class PeerLink {
  public:
   struct Options {
     DaemonId self;
     std::string address;     ///< without a port
     std::uint16_t port = 0;  ///< the same on all instances
-    /// Between messages about load that has only become less.
+    /// Interval of updates that only lower the reported load.
     std::chrono::milliseconds period{40};
-    /// Added to it for each peer, so that a large fleet sends less often.
+    /// Added to the interval for each peer, so that a large fleet sends less often.
     std::chrono::milliseconds period_per_peer{1};
-    /// A placed request is told at once, so that the others do not pile onto
-    /// the same engine, but not sooner than so long after the last message.
-    std::chrono::microseconds placed_gap{5'000};
+    /// A placed request is reported at once, so that other gateways do not pile onto the same
+    /// engine, but no sooner than this after the last message.
+    std::chrono::microseconds placement_interval{5'000};
     /// Added to it for each peer.
-    std::chrono::microseconds placed_gap_per_peer{250};
-    /// A message goes out at least this often; so often one has the namings.
+    std::chrono::microseconds placement_interval_per_peer{250};
+    /// Maximum interval between messages; also the interval at which weight announcements are sent.
     std::chrono::milliseconds heartbeat{500};
-    /// With more gateways than this those that track are told and asked: each
-    /// request costs some twenty datagrams then, and one for each gateway else.
-    std::size_t most_told = 32;
-    /// Longer than this without a turn, this process or its machine stood still. What
-    /// lay in the socket meanwhile tells ages that are too young by as much.
-    std::chrono::milliseconds standstill{1'000};
-    /// Emptying the socket takes less.
-    std::chrono::milliseconds stale_after_standstill{100};
-    /// Changes of load within so long go out together.
-    std::chrono::microseconds tracked_gap{1'000};
+    /// In fleets of more gateways than this, trackers are updated and queried instead: a request
+    /// then costs about twenty datagrams, instead of one for each gateway.
+    std::size_t max_broadcast_gateways = 32;
+    /// If the event loop did not run for longer than this, the process or its machine was
+    /// suspended. Ages in datagrams that were buffered meanwhile are too low by that time.
+    std::chrono::milliseconds suspension_threshold{1'000};
+    /// Draining the socket buffer takes less.
+    std::chrono::milliseconds stale_after_suspension{100};
+    /// Load changes within this time are sent together.
+    std::chrono::microseconds tracker_update_interval{1'000};
   };
 
-  /// `members` are the gateways that the store names, this one included; before
-  /// the store was read only `seeds` are known, addresses without port. Fails
-  /// with kInvalidSettings when the port cannot be had.
+  /// `members` are the gateways registered in the store, including this one. Before the store was
+  /// read only `seeds` are known, which are addresses without a port. Fails with kInvalidSettings
+  /// if the port cannot be bound.
   static Result<std::unique_ptr<PeerLink>> Create(GatewayState& state, Options options,
                                                   const InstanceRecords& members,
                                                   std::vector<std::string> seeds);
 
   net::awaitable<void> Send();
-  /// Tells all others of requests that may end backend servers, and what backend servers
-  /// say of themselves.
+  /// Broadcasts reports of requests that may crash backend servers, and notices that backend
+  /// servers give about themselves.
   net::awaitable<void> SendGossip();
   net::awaitable<void> Receive();
   void Stop();
 
-  std::size_t peers_heard() const { return loads_.size(); }
+  std::size_t active_peers() const { return loads_.size(); }
 
-  /// Sends a datagram to the gateway at `address`, without a port.
+  /// Sends a datagram to the gateway at `address`, which has no port.
   void SendTo(const std::string& address, const std::string& datagram);
 
-  /// Gets the messages about quotas, and the address of who has sent each.
+  /// Receives the messages about quotas, with the address of each sender.
   using QuotaListener = std::function<void(const QuotaMessage&, const std::string& from)>;
-  void SetQuotaListener(QuotaListener listener) { on_quota_ = std::move(listener); }
+  void SetQuotaListener(QuotaListener listener) { quota_listener_ = std::move(listener); }
 
  private:
   static constexpr std::size_t kMaxDatagramBytes = 60'000;
-  /// Above this, news of placed requests wait for the next message: larger
-  /// datagrams are split on the way and lost whole.
-  static constexpr std::size_t kMostPlaced = 24;
+  /// Above this number, placed requests are reported in the next message: larger datagrams are
+  /// fragmented, and lost if any fragment is.
+  static constexpr std::size_t kMaxPlacedPerMessage = 24;
 
   PeerLink(GatewayState& state, Options options, const InstanceRecords& members,
            std::vector<std::string> seeds, net::ip::udp::socket socket);
 
-  /// Takes changes of the fleet, and with them whether others are asked.
-  void LookAtMembers();
-  /// Sends what there is to tell everybody, if anything or a heartbeat is due.
-  void SendNews(TimePoint now);
+  /// Applies membership changes, and selects whether trackers are queried.
+  void ApplyMembership();
+  /// Broadcasts an update if there are changes or a heartbeat is due.
+  void Broadcast(TimePoint now);
   void SendToTrackers(TimePoint now);
-  /// When the next message goes out if nothing more happens.
+  /// Returns when the next message is due if nothing changes.
   TimePoint NextSend() const;
   GossipMessage MakeNews();
-  GossipMessage MakeHead();
+  GossipMessage MakeHeader();
   std::vector<LoadUpdate> OwnLoads() const;
   void SendTo(const net::ip::address& address, const std::string& datagram);
-  void Take(std::size_t bytes, const net::ip::udp::endpoint& sender);
-  void TakeMessage(const PeerMessage& message, const net::ip::udp::endpoint& sender, TimePoint now);
+  void HandleDatagram(std::size_t bytes, const net::ip::udp::endpoint& sender);
+  void HandleMessage(const PeerMessage& message, const net::ip::udp::endpoint& sender,
+                     TimePoint now);
   void SendToAll(const std::string& datagram);
-  /// Takes other gateways' news of backend servers' words, and tells a sender that is
-  /// behind. Only those do that track the backend server, or hundreds would.
-  void TakeWords(BackendNewsList news, const net::ip::address& sender, TimePoint now);
+  /// Applies backend notices from another gateway and, if the sender is behind, replies with newer
+  /// ones. Only the trackers of the backend server reply, to avoid hundreds of replies.
+  void HandleBackendNotices(BackendNewsList news, const net::ip::address& sender, TimePoint now);
   bool Tracks(BackendHash backend, TimePoint now) const;
-  /// Notes a turn of this process; finds out whether it stood still before.
-  void NoteTurn(TimePoint now);
+  /// Records that the event loop has run, and detects a suspension before that.
+  void DetectSuspension(TimePoint now);
 
   GatewayState& state_;
   Options options_;
@@ -121,22 +122,22 @@
   PeerLoads loads_;
   TrackerMap trackers_;
   TrackedNews tracked_news_;
-  LoadAsker asker_;
+  LoadQueryService load_queries_;
   PoisonGossip poison_gossip_;
   BackendGossip backend_gossip_;
   Timer gossip_timer_;
-  QuotaListener on_quota_;
-  std::vector<net::ip::address> peers_;  ///< all others
+  QuotaListener quota_listener_;
+  std::vector<net::ip::address> peers_;  ///< all gateways but this one
   std::optional<std::uint64_t> members_version_;
   std::uint64_t incarnation_ = 0;
   std::uint64_t sequence_ = 0;
-  bool changed_ = false;  ///< there is something for a tracker
-  TimePoint looked_{};    ///< for something to tell
-  TimePoint last_turn_{};
-  TimePoint stale_until_{};  ///< messages until then may have lain here through a standstill
+  bool tracker_update_pending_ = false;  ///< an update for a tracker is pending
+  TimePoint last_check_{};               ///< last check for updates
+  TimePoint last_run_{};
+  TimePoint stale_until_{};  ///< messages until then may have been buffered during a suspension
   TimePoint last_sent_{};
   TimePoint last_namings_{};
-  std::vector<LoadUpdate> told_loads_;  ///< of the last message to all
+  std::vector<LoadUpdate> last_broadcast_loads_;  ///< as last broadcast
   bool stopped_ = false;
   std::array<char, kMaxDatagramBytes> buffer_;
 };
--- a/libs/peers/include/peers/peer_loads.h
+++ b/libs/peers/include/peers/peer_loads.h
@@ -1,4 +1,4 @@
-// Adds what other gateways do at each backend server to what this one knows.
+// Adds the load that other gateways report for each backend server to this one's view.
 
 #pragma once
 
@@ -13,24 +13,24 @@
 
 namespace ridgehold {
 
-/// Not thread-safe; time comes in as a value.
+/// Not thread-safe; time is passed in.
 class PeerLoads {
  public:
-  /// A gateway unheard for this long is taken to send nothing any more.
-  static constexpr std::chrono::milliseconds kForgetAfter{1'500};
+  /// A gateway that was not heard from for this long is assumed to send no more requests.
+  static constexpr std::chrono::milliseconds kPeerTimeout{1'500};
 
   explicit PeerLoads(GatewayState& state) : state_(state) {}
 
-  /// Takes a message; false when it is older than one taken before.
-  bool Take(const GossipMessage& news, TimePoint now);
+  /// Applies a message; returns false if it is older than one already applied.
+  bool Apply(const GossipMessage& news, TimePoint now);
 
-  /// Drops gateways that have fallen silent.
+  /// Removes gateways that have timed out.
   void Expire(TimePoint now);
 
-  /// What `gateway` does at a backend server, as it told last.
+  /// Returns the load of `gateway` at a backend server, as last reported.
   LoadUpdate LoadOf(const DaemonId& gateway, BackendHash backend) const;
 
-  /// Gateways heard lately.
+  /// Returns the number of gateways heard from recently.
   std::size_t size() const { return peers_.size(); }
 
  private:
@@ -43,7 +43,7 @@
 
   void Add(const std::vector<LoadUpdate>& loads);
   void Subtract(const std::vector<LoadUpdate>& loads);
-  void TakeItems(const GossipItems& items, TimePoint now);
+  void ApplyItems(const GossipItems& items, TimePoint now);
 
   GatewayState& state_;
   std::map<DaemonId, Peer> peers_;
--- a/libs/peers/include/peers/poison_gossip.h
+++ b/libs/peers/include/peers/poison_gossip.h
@@ -1,4 +1,4 @@
-// What is to be told of poison requests.
+// Gossip about requests that crash backend servers.
 
 #pragma once
 
@@ -7,7 +7,7 @@
 
 namespace ridgehold {
 
-void AppendNews(PoisonNews& to, const PoisonNews& news, std::size_t most);
+void AppendNews(PoisonNews& to, const PoisonNews& news, std::size_t max_items);
 
 using PoisonGossip = Gossip<PoisonNews>;
 
--- a/libs/peers/include/peers/quota_codec.h
+++ b/libs/peers/include/peers/quota_codec.h
@@ -1,4 +1,4 @@
-// Messages about quotas as datagrams between gateways.
+// Encodes and decodes quota messages as datagrams between gateways.
 
 #pragma once
 
@@ -16,7 +16,7 @@
 
 std::string Encode(const DaemonId& sender, const QuotaMessage& message);
 
-/// Nothing when the datagram is about something else.
+/// Returns nullopt if the datagram holds no quota message.
 std::optional<QuotaMessage> DecodeQuota(const wire::GatewayNews& message);
 
 }  // namespace ridgehold
--- a/libs/peers/include/peers/quota_link.h
+++ b/libs/peers/include/peers/quota_link.h
@@ -1,5 +1,5 @@
-// This instance's part in holding quotas: asks for its own requests, and grants while it
-// holds its zone's share.
+// This instance's part in enforcing quotas: acquires tokens for its own requests, and grants tokens
+// while it holds its zone's share.
 
 #pragma once
 
@@ -16,70 +16,70 @@
 
 namespace ridgehold {
 
-/// Who holds the shares, as the store says.
+/// The holders of a quota's shares, according to the store.
 struct QuotaHolders {
-  std::string own_zone;             ///< address; empty: nobody
-  std::vector<std::string> others;  ///< of all other zones
+  std::string own_zone;             ///< address; empty if there is none
+  std::vector<std::string> others;  ///< in all other zones
 };
 
-/// Carries the messages of QuotaClient and QuotaHolder. Runs on one executor.
+/// Transports the messages of QuotaClient and QuotaHolder. Runs on one executor.
 class QuotaLink {
  public:
   struct Options {
     std::string name;     ///< of what is counted, for the log
     std::string address;  ///< of this instance, without a port
     std::uint32_t shares = 1;
-    std::uint64_t incarnation = 0;  ///< differs for each process, and for each link of it
+    std::uint64_t incarnation = 0;  ///< unique to each process and link
   };
-  /// What a link needs of the instance that it is in.
-  struct Surroundings {
+  /// What a link needs from its instance.
+  struct Callbacks {
     std::function<void(const std::string& address, const QuotaMessage& message)> send;
-    /// Who holds the shares of the subject's quota.
+    /// Returns the holders of the shares of the subject's quota.
     std::function<QuotaHolders(const QuotaSubject&)> find_holders;
-    /// Who holds the other shares of what this instance has a share of.
+    /// Returns the holders of the other shares of the quotas that this instance holds a share of.
     std::function<std::vector<std::string>()> find_lenders;
-    /// How this instance took its zone's key, if it may act on it.
-    std::function<std::optional<QuotaHolder::Taking>(TimePoint)> find_taking;
-    /// Terms that have changed since the last call.
-    std::function<std::map<QuotaSubject, QuotaTerms>()> take_new_terms;
+    /// Returns the lease on the zone's key, or nullopt if this instance may not act on it.
+    std::function<std::optional<QuotaHolder::Lease>(TimePoint)> find_lease;
+    /// Returns the limits that have changed since the last call.
+    std::function<std::map<QuotaSubject, QuotaLimits>()> take_changed_limits;
   };
 
   QuotaLink(net::any_io_executor executor, Metrics& metrics, const Options& options,
-            Surroundings surroundings);
+            Callbacks callbacks);
 
-  /// Ends within 40 ms for each holder after the demand's patience, or at once without it.
+  /// Returns within 40 ms per holder after the demand's deadline, or at once if it has none.
   net::awaitable<QuotaOutcome> Acquire(QuotaDemand demand);
-  void GiveBack(const QuotaTicket& ticket) { Deliver(QuotaClient::GiveBack(ticket)); }
+  void Refund(const QuotaTicket& ticket) { Dispatch(QuotaClient::Refund(ticket)); }
 
-  void Take(const QuotaMessage& message, const std::string& from);
-  /// Whether the request is one of this link's own.
+  void Handle(const QuotaMessage& message, const std::string& from);
+  /// Returns whether this link sent the request.
   bool IsOwn(const QuotaRequestId& id) const { return id.incarnation == incarnation_; }
 
-  /// Watches over loans.
+  /// Handles loan timeouts and limit changes until Stop().
   net::awaitable<void> Run();
   void Stop();
 
   std::vector<QuotaHolder::Usage> Usages();
 
  private:
-  /// Whom the client asks next.
-  void FindHolders(const QuotaSubject& subject);
-  /// Sends what is for others and takes what is for this instance.
-  void Deliver(QuotaOutbox outbox);
-  QuotaOutbox TakeOne(const QuotaMessage& message, const std::string& from);
-  /// The holder's part, as of now.
-  QuotaHolder& Holder(TimePoint now);
+  /// Updates the client's list of holders.
+  void UpdateHolders(const QuotaSubject& subject);
+  /// Sends messages to other instances and handles those addressed to this one.
+  void Dispatch(QuotaOutbox outbox);
+  QuotaOutbox HandleOne(const QuotaMessage& message, const std::string& from);
+  /// Returns the holder, with its lease and limits updated.
+  QuotaHolder& RefreshHolder(TimePoint now);
 
   net::any_io_executor executor_;
   Metrics& metrics_;
   std::string name_;
   std::string address_;
   std::uint64_t incarnation_;
-  Surroundings surroundings_;
+  Callbacks callbacks_;
   QuotaClient client_;
   QuotaHolder holder_;
-  std::map<std::uint64_t, Timer*> waiting_;  ///< by number of QuotaClient
-  Timer loans_timer_;
+  std::map<std::uint64_t, Timer*> waiters_;  ///< by acquisition id
+  Timer holder_timer_;
   bool stopped_ = false;
 };
 
--- a/libs/peers/include/peers/recent_namings.h
+++ b/libs/peers/include/peers/recent_namings.h
@@ -1,4 +1,4 @@
-// When weights were named, as gateways tell each other.
+// Announcements of model weights, as exchanged between gateways.
 
 #pragma once
 
@@ -9,12 +9,12 @@
 
 namespace ridgehold {
 
-/// The last namings of each model, without those whose moment is a guess: it
-/// would take the place of what others know.
+/// Returns the latest announcements for each model, without those whose time is assumed: they would
+/// override the times that other gateways know.
 std::vector<AnnouncementUpdate> RecentNamings(const WeightsHistory& named, TimePoint now);
 
-/// Takes what another gateway tells.
-void TakeNamings(WeightsHistory& named, const std::vector<AnnouncementUpdate>& namings,
-                 TimePoint now);
+/// Applies the announcements of another gateway.
+void ApplyNamings(WeightsHistory& named, const std::vector<AnnouncementUpdate>& namings,
+                  TimePoint now);
 
 }  // namespace ridgehold
--- a/libs/peers/include/peers/store_copy.h
+++ b/libs/peers/include/peers/store_copy.h
@@ -1,4 +1,4 @@
-// A gateway's copy of the store, handed to gateways that do not ask the store themselves.
+// A gateway's copy of the store, served to gateways that do not read the store themselves.
 
 #pragma once
 
@@ -12,18 +12,18 @@
 
 namespace ridgehold {
 
-/// Path under which gateways serve it to each other; the query is the revision
-/// that the asking one has.
+/// Path at which gateways serve their copy to each other; the query is the revision that the client
+/// already has.
 inline constexpr char kStoreCopyPath[] = "/store-copy";
 
-/// What one gateway knows of the store.
+/// A gateway's view of the store.
 struct StoreCopy {
-  StoreRevision revision;              ///< all changes up to this one are known
-  std::chrono::milliseconds age{0};    ///< since that was the newest for certain
-  bool whole = false;                  ///< `changes` are all items there are
-  std::vector<StoreEvent> changes;     ///< since the revision that was asked for
-  std::chrono::milliseconds grace{0};  ///< so long missing registrations say nothing
-  bool store_lost = false;             ///< the sender's calls to the store fail
+  StoreRevision revision;              ///< all changes up to this one are included
+  std::chrono::milliseconds age{0};    ///< since this was known to be the newest revision
+  bool is_snapshot = false;            ///< `changes` is a snapshot, not a delta
+  std::vector<StoreEvent> changes;     ///< since the requested revision
+  std::chrono::milliseconds grace{0};  ///< missing registrations are ignored for this long
+  bool store_unreachable = false;      ///< the sender's calls to the store fail
 };
 
 std::string EncodeStoreCopy(const StoreCopy& copy);
--- a/libs/peers/include/peers/store_copy_reader.h
+++ b/libs/peers/include/peers/store_copy_reader.h
@@ -1,4 +1,4 @@
-// Keeps a gateway current through its peers, so that few gateways ask the store itself.
+// Keeps a gateway up to date through its peers, so that few gateways read the store itself.
 
 #pragma once
 
@@ -21,66 +21,66 @@
 
 namespace ridgehold {
 
-/// What takes copies, such as StateFollower.
+/// A receiver of copies, such as StateFollower.
 template <class Follower>
-concept CopyTaker = requires(Follower& follower, std::vector<StoreItem> items,
-                             const std::vector<StoreEvent>& changes, StoreRevision revision,
-                             TimePoint confirmed, TimePoint settled) {
+concept CopySink = requires(Follower& follower, std::vector<StoreItem> items,
+                            const std::vector<StoreEvent>& changes, StoreRevision revision,
+                            TimePoint confirmed, TimePoint settled) {
   { follower.revision() } -> std::convertible_to<StoreRevision>;
   follower.ApplyCopy(std::move(items), revision, confirmed, settled);
   follower.ApplyChanges(changes, revision, confirmed, settled);
 };
 
-/// Asks the zone's relay regularly; and any peer once the configuration has
-/// not been confirmed for a while. An answer's age counts from before the
-/// question was sent, so a late answer never looks fresher than it is. Runs on
-/// one executor.
-template <CopyTaker Follower>
+/// Polls the zone's relay, and any peer once the configuration was not confirmed for a while. An
+/// answer's age counts from before the request was sent, so a late answer never looks fresher than
+/// it is. Runs on one executor.
+template <CopySink Follower>
 class StoreCopyReader {
  public:
   struct Options {
     std::uint16_t port = 0;  ///< the same on all instances
-    /// Without confirmation for so long peers are asked; a watch that works
-    /// confirms every second.
-    std::chrono::milliseconds ask_after{1'500};
-    std::chrono::milliseconds look{200};
-    /// Between questions to the relay: what is late here goes to backend
-    /// servers that are gone.
-    std::chrono::milliseconds relay_pause{150};
-    /// A relay whose watch works is never older than the watch's second.
-    std::chrono::milliseconds current_age{1'300};
-    /// A relay that was not current for so long is not relied on.
-    std::chrono::milliseconds relay_silence{600};
-    /// It is passed over for so long then; its mark in the store lapses after that.
-    std::chrono::milliseconds passed_over{5'000};
-    /// The same for one that has lost the store, which may be back at once.
-    std::chrono::milliseconds lost_store{1'000};
-    /// A peer answers within a round trip, 6 ms between zones.
-    std::chrono::milliseconds limit{250};
+    /// Peers are asked if nothing was confirmed for this long; a working watch confirms every
+    /// second.
+    std::chrono::milliseconds stale_after{1'500};
+    std::chrono::milliseconds poll_interval{200};
+    /// Interval between polls of the relay. Until a change arrives, requests go to backend servers
+    /// that are gone.
+    std::chrono::milliseconds relay_poll_interval{150};
+    /// A relay with a working watch is never older than the watch interval of 1 s.
+    std::chrono::milliseconds max_relay_age{1'300};
+    /// A relay that was not current for this long is no longer relied on.
+    std::chrono::milliseconds relay_timeout{600};
+    /// Such a relay is then not asked for this long; its registration in the store expires later.
+    std::chrono::milliseconds relay_cooldown{5'000};
+    /// The same for a relay that lost its connection to the store, which may be restored soon.
+    std::chrono::milliseconds store_lost_cooldown{1'000};
+    /// A peer answers within a round trip, which takes 6 ms between zones.
+    std::chrono::milliseconds timeout{250};
   };
 
-  /// The address of the relay, if there is one, without those that are given.
-  using RelayChoice =
-      std::function<std::optional<std::string>(const std::set<std::string>& passed_over)>;
+  /// Returns the address of the relay other than the given ones, if there is one.
+  using RelaySelector =
+      std::function<std::optional<std::string>(const std::set<std::string>& excluded)>;
 
   StoreCopyReader(GatewayState& state, Follower& follower, Options options,
-                  std::function<std::vector<std::string>()> peers, RelayChoice relay)
+                  std::function<std::vector<std::string>()> peers, RelaySelector relay)
       : state_(state),
         follower_(follower),
         options_(options),
         peers_(std::move(peers)),
-        relay_(std::move(relay)),
+        select_relay_(std::move(relay)),
         timer_(state.executor()),
         random_(std::random_device{}()) {}
 
   net::awaitable<void> Run() {
     while (!stopped_) {
-      const bool stale = Clock::now() - state_.confirmed_at() >= options_.ask_after;
-      const std::optional<std::string> relay = CurrentRelay(Clock::now());
-      if (relay) co_await Ask(*relay);
+      const bool stale = Clock::now() - state_.confirmed_at() >= options_.stale_after;
+      const std::optional<std::string> relay = SelectRelay(Clock::now());
+      if (relay) co_await Poll(*relay);
       const std::string peer = stale ? AnyPeer() : "";
-      if (!peer.empty()) co_await Ask(peer);
-      co_await WaitFor(timer_, relay && !stale ? options_.relay_pause : options_.look);
+      if (!peer.empty()) co_await Poll(peer);
+      co_await WaitFor(timer_,
+                       relay && !stale ? options_.relay_poll_interval : options_.poll_interval);
     }
   }
 
@@ -89,9 +89,9 @@
     timer_.cancel();
   }
 
-  /// Whether the relay answers, reaches the store and is itself current.
+  /// Returns whether the relay answers, reaches the store and is itself current.
   bool RelayIsCurrent(TimePoint now) const {
-    return now - relay_answered_ < options_.relay_silence;
+    return now - relay_current_at_ < options_.relay_timeout;
   }
 
  private:
@@ -100,58 +100,58 @@
     return peers.empty() ? "" : peers[random_() % peers.size()];
   }
 
-  /// The relay as things are; another than before is not current until it answers.
-  std::optional<std::string> CurrentRelay(TimePoint now) {
-    std::erase_if(passed_over_, [&](const auto& entry) { return entry.second <= now; });
-    std::set<std::string> without;
-    for (const auto& [address, until] : passed_over_) without.insert(address);
-    std::optional<std::string> relay = relay_(without);
-    if (relay != asked_relay_) {
-      asked_relay_ = relay;
-      relay_answered_ = {};
-      relay_since_ = now;
+  /// Returns the current relay. A new relay does not count as current until it answers.
+  std::optional<std::string> SelectRelay(TimePoint now) {
+    std::erase_if(cooldown_until_, [&](const auto& entry) { return entry.second <= now; });
+    std::set<std::string> excluded;
+    for (const auto& [address, until] : cooldown_until_) excluded.insert(address);
+    std::optional<std::string> relay = select_relay_(excluded);
+    if (relay != current_relay_) {
+      current_relay_ = relay;
+      relay_current_at_ = {};
+      relay_selected_at_ = now;
     }
     return relay;
   }
 
-  net::awaitable<void> Ask(std::string peer) {
-    const TimePoint asked = Clock::now();
+  net::awaitable<void> Poll(std::string peer) {
+    const TimePoint asked_at = Clock::now();
     std::optional<StoreCopy> copy = co_await Fetch(peer);
-    if (copy && asked_relay_ == peer) NoteRelay(*copy, asked);
-    if (!copy && asked_relay_ == peer) NoteSilence(peer, Clock::now());
+    if (copy && current_relay_ == peer) RecordRelayAnswer(*copy, asked_at);
+    if (!copy && current_relay_ == peer) RecordRelayTimeout(peer, Clock::now());
     if (!copy || copy->revision < follower_.revision()) co_return;
-    const TimePoint confirmed = asked - copy->age;
-    const TimePoint settled = asked + copy->grace;
+    const TimePoint confirmed = asked_at - copy->age;
+    const TimePoint settled = asked_at + copy->grace;
     if (confirmed <= state_.confirmed_at() && copy->revision == follower_.revision()) co_return;
     if (!copy->changes.empty()) {
       Log(LogLevel::kInfo, "changes taken from a peer",
           {{"peer", peer},
            {"changes", std::to_string(copy->changes.size())},
-           {"whole", copy->whole ? "yes" : "no"},
+           {"whole", copy->is_snapshot ? "yes" : "no"},
            {"store_revision", std::to_string(copy->revision.value())},
            {"age_ms", std::to_string(copy->age.count())}});
     }
-    if (copy->whole) {
+    if (copy->is_snapshot) {
       follower_.ApplyCopy(ItemsOf(std::move(*copy)), copy->revision, confirmed, settled);
     } else {
       follower_.ApplyChanges(copy->changes, copy->revision, confirmed, settled);
     }
   }
 
-  void NoteRelay(const StoreCopy& copy, TimePoint asked) {
-    // It cannot keep anybody current; waiting for its copy to grow old would
-    // use up the time that changes have.
-    if (copy.store_lost) {
-      relay_answered_ = {};
-      passed_over_[*asked_relay_] = asked + options_.lost_store;
+  void RecordRelayAnswer(const StoreCopy& copy, TimePoint asked_at) {
+    // This relay cannot keep any gateway current. Waiting for its copy to age would use up the time
+    // in which changes must take effect.
+    if (copy.store_unreachable) {
+      relay_current_at_ = {};
+      cooldown_until_[*current_relay_] = asked_at + options_.store_lost_cooldown;
     }
-    if (!copy.store_lost && copy.age < options_.current_age) relay_answered_ = asked;
+    if (!copy.store_unreachable && copy.age < options_.max_relay_age) relay_current_at_ = asked_at;
   }
 
-  void NoteSilence(const std::string& relay, TimePoint now) {
-    if (now - std::max(relay_since_, relay_answered_) < options_.relay_silence) return;
-    Log(LogLevel::kInfo, "relay passed over", {{"peer", relay}});
-    passed_over_[relay] = now + options_.passed_over;
+  void RecordRelayTimeout(const std::string& relay, TimePoint now) {
+    if (now - std::max(relay_selected_at_, relay_current_at_) < options_.relay_timeout) return;
+    Log(LogLevel::kInfo, "relay not current; asking another one", {{"peer", relay}});
+    cooldown_until_[relay] = now + options_.relay_cooldown;
   }
 
   static std::vector<StoreItem> ItemsOf(StoreCopy copy) {
@@ -170,7 +170,7 @@
     request.set(http::field::host, peer);
     const std::string address = peer + ":" + std::to_string(options_.port);
     const CallOutcome outcome =
-        co_await Call(state_.pool(), address, std::move(request), options_.limit);
+        co_await Call(state_.pool(), address, std::move(request), options_.timeout);
     if (outcome.fault != ExchangeFault::kNone || outcome.answer.result() != http::status::ok) {
       co_return std::nullopt;
     }
@@ -180,7 +180,7 @@
           return std::optional(std::move(copy));
         },
         [&](const Failure& failure) {
-          Log(LogLevel::kWarn, "malformed copy of the store",
+          Log(LogLevel::kWarn, "malformed store copy from peer",
               {{"peer", peer}, {"detail", failure.detail}});
           return std::optional<StoreCopy>();
         });
@@ -190,13 +190,13 @@
   Follower& follower_;
   Options options_;
   std::function<std::vector<std::string>()> peers_;
-  RelayChoice relay_;
-  std::map<std::string, TimePoint> passed_over_;  ///< until when
-  std::optional<std::string> asked_relay_;
-  TimePoint relay_since_{};  ///< when it became the relay
+  RelaySelector select_relay_;
+  std::map<std::string, TimePoint> cooldown_until_;  ///< by address
+  std::optional<std::string> current_relay_;
+  TimePoint relay_selected_at_{};  ///< when the current relay was selected
   Timer timer_;
   std::minstd_rand random_;
-  TimePoint relay_answered_{};  ///< when it was last asked and was current
+  TimePoint relay_current_at_{};  ///< last poll that found it current
   bool stopped_ = false;
 };
 
--- a/libs/peers/include/peers/tracked_news.h
+++ b/libs/peers/include/peers/tracked_news.h
@@ -1,4 +1,4 @@
-// What a gateway of a large fleet tells those that track the backend servers it uses.
+// Updates that a gateway of a large fleet sends to the trackers of the backend servers it uses.
 
 #pragma once
 
@@ -13,32 +13,32 @@
 
 namespace ridgehold {
 
-/// News for one gateway: all of this gateway's load at what that one tracks.
+/// An update for one gateway, with all of this gateway's load at the backend servers it tracks.
 struct NewsForTracker {
   TrackerMap::Gateway tracker;
   std::vector<LoadUpdate> loads;
   GossipItems items;
 };
 
-/// Divides the news among the trackers and remembers what each was told. Not
-/// thread-safe; time comes in as a value.
+/// Distributes updates among the trackers and remembers what each was sent. Not thread-safe; time
+/// is passed in.
 class TrackedNews {
  public:
-  /// Load that has not changed is told again so often: a tracker that starts anew
-  /// knows nothing, and forgets gateways that fall silent (PeerLoads).
-  static constexpr std::chrono::milliseconds kRepeat{500};
+  /// Unchanged load is sent again at this interval: a restarted tracker has no state, and trackers
+  /// drop gateways that fall silent (PeerLoads).
+  static constexpr std::chrono::milliseconds kRepeatInterval{500};
 
   TrackedNews(GatewayState& state, std::string own_address)
       : state_(state), own_address_(std::move(own_address)) {}
 
-  /// Returns what is to be sent now. `items` are taken out of the state's news.
+  /// Returns the updates to send now. `items` have been removed from the state's queue.
   std::vector<NewsForTracker> Collect(const std::vector<LoadUpdate>& loads,
                                       const GossipItems& items, const TrackerMap& trackers,
                                       TimePoint now);
 
  private:
-  /// What a tracker was told last.
-  struct Told {
+  /// What a tracker was last sent.
+  struct LastSent {
     std::vector<LoadUpdate> loads;
     TimePoint at{};
   };
@@ -46,19 +46,20 @@
 
   using Receivers = std::vector<NewsForTracker*>;
 
-  /// Where news of the backend server goes, this gateway left out.
-  Receivers For(BackendHash backend, const TrackerMap& trackers, TimePoint now,
-                ByTracker& news) const;
-  Receivers ForStore(LinkHash link, const TrackerMap& trackers, TimePoint now,
-                     ByTracker& news) const;
-  Receivers ForAll(const std::vector<const TrackerMap::Gateway*>& trackers, ByTracker& news) const;
-  NewsForTracker* ForGateway(const TrackerMap::Gateway& tracker, ByTracker& news) const;
+  /// Returns the receivers of updates about the backend server, without this gateway.
+  Receivers ReceiversFor(BackendHash backend, const TrackerMap& trackers, TimePoint now,
+                         ByTracker& news) const;
+  Receivers ReceiversForStore(LinkHash link, const TrackerMap& trackers, TimePoint now,
+                              ByTracker& news) const;
+  Receivers AddReceivers(const std::vector<const TrackerMap::Gateway*>& trackers,
+                         ByTracker& news) const;
+  NewsForTracker* AddReceiver(const TrackerMap::Gateway& tracker, ByTracker& news) const;
   void AddPlaced(const PlacementUpdate& placed, const TrackerMap& trackers, TimePoint now,
                  ByTracker& news) const;
 
   GatewayState& state_;
   std::string own_address_;
-  std::map<std::string, Told> told_;  ///< by address
+  std::map<std::string, LastSent> last_sent_;  ///< by address
 };
 
 }  // namespace ridgehold
--- a/libs/peers/include/peers/tracker_map.h
+++ b/libs/peers/include/peers/tracker_map.h
@@ -1,4 +1,4 @@
-// Which gateway tracks which backend server in a large fleet.
+// Maps backend servers to the gateways that track them, in a large fleet.
 
 #pragma once
 
@@ -14,70 +14,70 @@
 
 namespace ridgehold {
 
-/// Rendezvous hashing among the gateways of the same availability zone: without
-/// a message, all gateways find the same one, each has as many, and one that goes
-/// leaves what it had to all others. Not thread-safe; time comes in as a value.
+/// Rendezvous hashing among the gateways of the same availability zone: all gateways compute the
+/// same tracker without communication, the load is spread evenly, and the backend servers of a
+/// gateway that leaves are spread over all others. Not thread-safe; time is passed in.
 class TrackerMap {
  public:
-  /// Questions in a row without an answer until the next in rank takes over: a
-  /// single datagram may be lost, or a gateway stand still on a capped core.
-  static constexpr int kMissesUntilSilent = 2;
-  /// For so long; a process that was killed is back within a second.
-  static constexpr std::chrono::milliseconds kSilence{1'000};
-  /// A process that started less than this ago has not seen what caches hold: an
-  /// engine's memory turns over in some 2 to 10 s. Until then the next is asked,
-  /// who was told all the while.
-  static constexpr std::chrono::seconds kYouth{10};
-  /// So many are told of what a backend server gets, so that one may die.
-  static constexpr std::size_t kTold = 2;
-
-  /// A gateway that may track.
+  /// Consecutive unanswered queries until the gateway next in rank takes over. One is not enough: a
+  /// datagram may be lost, or a gateway be throttled at its CPU limit.
+  static constexpr int kMaxMisses = 2;
+  /// How long the gateway is then skipped; a killed process restarts within a second.
+  static constexpr std::chrono::milliseconds kUnresponsiveCooldown{1'000};
+  /// A process that started less than this ago does not know what caches hold: an engine's cache
+  /// turns over within 2 to 10 s. Until then the next gateway is queried, which has received all
+  /// updates.
+  static constexpr std::chrono::seconds kWarmup{10};
+  /// Gateways that receive the updates about a backend server, so that one of them may fail.
+  static constexpr std::size_t kTrackersPerBackend = 2;
+
+  /// A gateway that may be a tracker.
   struct Gateway {
     std::string address;  ///< without a port
-    net::ip::address ip;  ///< the same
+    net::ip::address ip;  ///< parsed from `address`
     ZoneId zone;
     std::uint64_t hash = 0;
     StoreRevision marked;
-    TimePoint young_until{};
+    TimePoint warming_until{};
     int misses = 0;
-    TimePoint silent_until{};
+    TimePoint unresponsive_until{};
   };
 
-  /// All gateways, this one included. Those whose address cannot be read are
-  /// left out.
+  /// Sets all gateways, including this one. Members with an invalid address are skipped.
   void SetGateways(const std::vector<Member>& members, TimePoint now);
 
   std::size_t size() const { return gateways_.size(); }
 
-  /// The one to ask about what `hash` stands for, which is in `zone`; null only if
-  /// there is none. Silent and young ones come last.
+  /// Returns the gateway to query about `hash`, which is in `zone`; null only if there are no
+  /// gateways. Unresponsive and recently started ones are ranked last.
   const Gateway* TrackerOf(std::uint64_t hash, const ZoneId& zone, TimePoint now) const;
 
-  /// Those to tell, young ones like all others; kTold at most.
+  /// Returns the gateways to update, recently started ones included: kTrackersPerBackend, and the
+  /// one that is queried if it is not among them.
   std::vector<const Gateway*> TrackersOf(std::uint64_t hash, const ZoneId& zone,
                                          TimePoint now) const;
 
-  /// Null if it is not among them.
+  /// Returns null if the gateway is unknown.
   const Gateway* Find(const std::string& address) const;
 
-  /// It has not answered in time.
-  void NoteMiss(const std::string& address, TimePoint now);
-  void NoteHeard(const std::string& address);
+  /// Records that the gateway did not answer in time.
+  void RecordMiss(const std::string& address, TimePoint now);
+  void RecordAnswer(const std::string& address);
 
  private:
-  /// Where a gateway comes in the order of those that track; the highest first.
-  struct Place {
-    bool answers = false;
+  /// Rank of a gateway as tracker; the highest is chosen.
+  struct Priority {
+    bool responsive = false;
     bool in_zone = false;
-    bool grown = false;
+    bool warmed_up = false;
     std::uint64_t rank = 0;
 
-    auto operator<=>(const Place&) const = default;
+    auto operator<=>(const Priority&) const = default;
   };
 
-  static Place PlaceOf(const Gateway& gateway, std::uint64_t hash, const ZoneId& zone,
-                       TimePoint now);
-  Gateway* FindOwn(const std::string& address);
+  static Priority PriorityOf(const Gateway& gateway, std::uint64_t hash, const ZoneId& zone,
+                             TimePoint now);
+  Gateway* FindMutable(const std::string& address);
 
   std::vector<Gateway> gateways_;
 };
--- a/libs/peers/src/load_asker.cc
+++ b/libs/peers/src/load_query_service.cc
@@ -1,4 +1,4 @@
-#include "peers/load_asker.h"
+#include "peers/load_query_service.h"
 
 #include <algorithm>
 #include <utility>
@@ -8,13 +8,13 @@
 
 namespace ridgehold {
 
-net::awaitable<LoadAnswer> LoadAsker::Ask(LoadQuestion question) {
+net::awaitable<LoadAnswer> LoadQueryService::Query(LoadQuestion question) {
   const TimePoint now = Clock::now();
   const auto pending = std::make_shared<Pending>(state_.executor());
   const std::uint64_t id = ++last_question_;
-  for (auto& [address, part] : Divide(question, now)) {
+  for (auto& [address, part] : SplitByTracker(question, now)) {
     if (address == options_.address) {
-      AddTo(pending->answer, Answer(part.message, now));
+      MergeInto(pending->answer, Answer(part.message, now));
       continue;
     }
     part.message.id = id;
@@ -23,15 +23,15 @@
   }
   if (!pending->waiting.empty()) {
     pending_[id] = pending;
-    co_await WaitUntil(pending->timer, now + options_.limit);
+    co_await WaitUntil(pending->timer, now + options_.timeout);
     pending_.erase(id);
   }
-  NoteUnanswered(*pending, Clock::now());
+  RecordUnanswered(*pending, Clock::now());
   co_return std::move(pending->answer);
 }
 
-std::map<std::string, LoadAsker::Part> LoadAsker::Divide(const LoadQuestion& question,
-                                                         TimePoint now) const {
+std::map<std::string, LoadQueryService::Part> LoadQueryService::SplitByTracker(
+    const LoadQuestion& question, TimePoint now) const {
   std::map<std::string, Part> parts;
   const auto part_for = [&](std::uint64_t hash, const ZoneId& zone) -> LoadQuestionMessage* {
     const TrackerMap::Gateway* tracker = trackers_.TrackerOf(hash, zone, now);
@@ -62,7 +62,8 @@
   return parts;
 }
 
-LoadAnswerMessage LoadAsker::Answer(const LoadQuestionMessage& question, TimePoint now) const {
+LoadAnswerMessage LoadQueryService::Answer(const LoadQuestionMessage& question,
+                                           TimePoint now) const {
   LoadAnswerMessage answer;
   answer.daemon = options_.self;
   answer.id = question.id;
@@ -75,13 +76,13 @@
     if (!backend) continue;
     BackendReport report = state_.ReportOn(*backend, asked, now);
     const bool own = question.daemon == options_.self;
-    const LoadUpdate asker =
+    const LoadUpdate sender_load =
         own ? state_.OwnLoadAt(*backend, now) : loads_.LoadOf(question.daemon, hash);
     PeerLoad& work = report.work;
-    work.running -= std::min(work.running, asker.running);
-    work.unread_tokens -= std::min(work.unread_tokens, asker.unread_tokens);
-    work.unrepeatable -= std::min(work.unrepeatable, asker.unrepeatable);
-    work.uncovered -= std::min(work.uncovered, asker.uncovered);
+    work.running -= std::min(work.running, sender_load.running);
+    work.unread_tokens -= std::min(work.unread_tokens, sender_load.unread_tokens);
+    work.unrepeatable -= std::min(work.unrepeatable, sender_load.unrepeatable);
+    work.uncovered -= std::min(work.uncovered, sender_load.uncovered);
     answer.backends.push_back(report);
   }
   if (question.store) {
@@ -93,29 +94,29 @@
   return answer;
 }
 
-void LoadAsker::Take(const LoadAnswerMessage& answer, const std::string& address) {
-  trackers_.NoteHeard(address);
-  TakeNamings(state_.named_weights(), answer.namings, Clock::now());
+void LoadQueryService::HandleAnswer(const LoadAnswerMessage& answer, const std::string& address) {
+  trackers_.RecordAnswer(address);
+  ApplyNamings(state_.named_weights(), answer.namings, Clock::now());
   const auto found = pending_.find(answer.id);
-  if (found == pending_.end()) return;  // too late
+  if (found == pending_.end()) return;  // timed out
   Pending& pending = *found->second;
   if (pending.waiting.erase(address) == 0) return;
-  AddTo(pending.answer, answer);
+  MergeInto(pending.answer, answer);
   if (pending.waiting.empty()) pending.timer.cancel();
 }
 
-void LoadAsker::AddTo(LoadAnswer& answer, const LoadAnswerMessage& message) {
+void LoadQueryService::MergeInto(LoadAnswer& answer, const LoadAnswerMessage& message) {
   for (const BackendReport& report : message.backends) answer.backends[report.backend] = report;
   if (message.store) answer.store = message.store;
   answer.samples.push_back(message.sample);
   answer.holders.insert(answer.holders.end(), message.holders.begin(), message.holders.end());
 }
 
-void LoadAsker::NoteUnanswered(const Pending& pending, TimePoint now) {
+void LoadQueryService::RecordUnanswered(const Pending& pending, TimePoint now) {
   state_.metrics().GetCounter("ridgehold_load_questions").Add();
   if (pending.waiting.empty()) return;
   state_.metrics().GetCounter("ridgehold_load_questions_unanswered").Add(pending.waiting.size());
-  for (const std::string& address : pending.waiting) trackers_.NoteMiss(address, now);
+  for (const std::string& address : pending.waiting) trackers_.RecordMiss(address, now);
 }
 
 }  // namespace ridgehold
--- a/libs/peers/src/news_codec.cc
+++ b/libs/peers/src/news_codec.cc
@@ -178,7 +178,7 @@
   BackendNewsList news;
   for (const wire::BackendWord& word : message.words()) {
     BackendNews item{word.backend(), word.number(), std::nullopt, word.leaving(), std::nullopt};
-    if (word.limited()) item.limit = RequestRate::OfThousandths(word.limit());
+    if (word.limited()) item.limit = RequestRate::FromThousandths(word.limit());
     if (word.rest_left_ms() > 0) item.rest_left = std::chrono::milliseconds(word.rest_left_ms());
     news.items.push_back(item);
   }
@@ -271,7 +271,8 @@
   wire::GatewayNews message;
   const bool parsed = message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()));
   if (!parsed || message.daemon().empty()) {
-    return Fail(ResultCode::kMalformedPeerMessage, "not a gateway's message");
+    return Fail(ResultCode::kMalformedPeerMessage,
+                "not a gateway message: parse error or sender missing");
   }
   if (message.has_question()) return PeerMessage(DecodeQuestion(message));
   if (message.has_answer()) return PeerMessage(DecodeAnswer(message));
@@ -284,7 +285,8 @@
 Result<GossipMessage> DecodeNews(std::string_view bytes) {
   BOOST_LEAF_AUTO(message, DecodePeerMessage(bytes));
   if (auto* news = std::get_if<GossipMessage>(&message)) return std::move(*news);
-  return Fail(ResultCode::kMalformedPeerMessage, "a question or an answer, not news");
+  return Fail(ResultCode::kMalformedPeerMessage,
+              "a gateway message of another kind than an update");
 }
 
 }  // namespace ridgehold
--- a/libs/peers/src/peer_link.cc
+++ b/libs/peers/src/peer_link.cc
@@ -23,7 +23,7 @@
   if (!error) socket.bind({address, options.port}, error);
   if (error) {
     return Fail(ResultCode::kInvalidSettings,
-                "cannot receive peers' messages on " + options.address + ":" +
+                "cannot bind the socket for peer messages to " + options.address + ":" +
                     std::to_string(options.port) + ": " + error.message());
   }
   return std::unique_ptr<PeerLink>(
@@ -40,24 +40,24 @@
       timer_(state.executor()),
       loads_(state),
       tracked_news_(state, options_.address),
-      asker_(state, loads_, trackers_, {options_.self, options_.address},
-             [this](const TrackerMap::Gateway& gateway, const std::string& bytes) {
-               SendTo(gateway.ip, bytes);
-             }),
+      load_queries_(state, loads_, trackers_, {options_.self, options_.address},
+                    [this](const TrackerMap::Gateway& gateway, const std::string& bytes) {
+                      SendTo(gateway.ip, bytes);
+                    }),
       gossip_timer_(state.executor()),
       incarnation_(std::random_device{}()) {}
 
 net::awaitable<void> PeerLink::Send() {
   state_.SetPlacedListener([this] { timer_.cancel(); });
   state_.SetLoadListener([this] {
-    if (state_.asks_first() && !std::exchange(changed_, true)) timer_.cancel();
+    if (state_.asks_first() && !std::exchange(tracker_update_pending_, true)) timer_.cancel();
   });
   while (!stopped_) {
-    LookAtMembers();
+    ApplyMembership();
     const TimePoint now = Clock::now();
-    NoteTurn(now);
+    DetectSuspension(now);
     loads_.Expire(now);
-    if (now >= NextSend()) state_.asks_first() ? SendToTrackers(now) : SendNews(now);
+    if (now >= NextSend()) state_.asks_first() ? SendToTrackers(now) : Broadcast(now);
     co_await WaitUntil(timer_, NextSend());
   }
   state_.SetPlacedListener({});
@@ -73,7 +73,7 @@
     backend_gossip_.Add(state_.words().TakeNews(), now);
     const PoisonNews poison = poison_gossip_.TakeDue(now);
     const BackendNewsList words = state_.words().Refreshed(backend_gossip_.TakeDue(now), now);
-    LookAtMembers();
+    ApplyMembership();
     if (!poison.empty()) SendToAll(Encode(options_.self, poison));
     if (!words.empty()) SendToAll(Encode(options_.self, words));
     const TimePoint next = Clock::now();
@@ -88,15 +88,16 @@
   for (const net::ip::address& peer : peers_) SendTo(peer, datagram);
 }
 
-void PeerLink::TakeWords(BackendNewsList news, const net::ip::address& sender, TimePoint now) {
-  // Of a rest only its length is told, which an old message has wrong.
+void PeerLink::HandleBackendNotices(BackendNewsList news, const net::ip::address& sender,
+                                    TimePoint now) {
+  // A rest is sent as its remaining time, which is wrong in a delayed message.
   if (now < stale_until_) {
     for (BackendNews& item : news.items) item.rest_left.reset();
   }
   const std::uint64_t gateway = std::hash<std::string>{}(sender.to_string());
-  BackendNewsList better = state_.words().Take(news, gateway, now);
-  std::erase_if(better.items, [&](const BackendNews& item) { return !Tracks(item.backend, now); });
-  if (!better.empty()) SendTo(sender, Encode(options_.self, better));
+  BackendNewsList newer = state_.words().Take(news, gateway, now);
+  std::erase_if(newer.items, [&](const BackendNews& item) { return !Tracks(item.backend, now); });
+  if (!newer.empty()) SendTo(sender, Encode(options_.self, newer));
 }
 
 bool PeerLink::Tracks(BackendHash hash, TimePoint now) const {
@@ -107,7 +108,7 @@
          trackers.end();
 }
 
-void PeerLink::LookAtMembers() {
+void PeerLink::ApplyMembership() {
   if (members_version_ == members_.members_version()) return;
   members_version_ = members_.members_version();
   trackers_.SetGateways(members_.Members(), Clock::now());
@@ -119,50 +120,53 @@
   };
   for (const Member& member : members_.Members()) add(member.address);
   if (members_.Members().empty()) std::ranges::for_each(seeds_, add);
-  const bool large = members_.Members().size() > options_.most_told;
-  if (large == state_.asks_first()) return;
-  Log(LogLevel::kInfo, large ? "trackers are told and asked" : "all gateways are told",
+  const bool use_trackers = members_.Members().size() > options_.max_broadcast_gateways;
+  if (use_trackers == state_.asks_first()) return;
+  Log(LogLevel::kInfo,
+      use_trackers ? "updating and querying trackers only" : "broadcasting updates to all gateways",
       {{"gateways", std::to_string(members_.Members().size())},
-       {"most_told", std::to_string(options_.most_told)}});
+       {"most_told", std::to_string(options_.max_broadcast_gateways)}});
   GatewayState::LoadAsker ask;
-  if (large) ask = [this](LoadQuestion question) { return asker_.Ask(std::move(question)); };
+  if (use_trackers)
+    ask = [this](LoadQuestion question) { return load_queries_.Query(std::move(question)); };
   state_.SetLoadAsker(std::move(ask));
 }
 
 TimePoint PeerLink::NextSend() const {
   if (state_.asks_first()) {
-    return looked_ + (changed_ ? Duration(options_.tracked_gap) : TrackedNews::kRepeat / 2);
+    return last_check_ + (tracker_update_pending_ ? Duration(options_.tracker_update_interval)
+                                                  : TrackedNews::kRepeatInterval / 2);
   }
   const auto count = static_cast<int>(peers_.size());
   if (!state_.news().placed.empty()) {
-    return looked_ + options_.placed_gap + count * options_.placed_gap_per_peer;
+    return last_check_ + options_.placement_interval + count * options_.placement_interval_per_peer;
   }
-  return looked_ + options_.period + count * options_.period_per_peer;
+  return last_check_ + options_.period + count * options_.period_per_peer;
 }
 
-void PeerLink::SendNews(TimePoint now) {
-  looked_ = now;
+void PeerLink::Broadcast(TimePoint now) {
+  last_check_ = now;
   GossipMessage news = MakeNews();
   const bool due = now - last_sent_ >= options_.heartbeat;
-  if (news.items.empty() && news.loads == told_loads_ && !due) return;
+  if (news.items.empty() && news.loads == last_broadcast_loads_ && !due) return;
   last_sent_ = now;
   const std::string datagram = EncodeNews(news);
   for (const net::ip::address& peer : peers_) SendTo(peer, datagram);
-  told_loads_ = std::move(news.loads);
+  last_broadcast_loads_ = std::move(news.loads);
 }
 
 void PeerLink::SendToTrackers(TimePoint now) {
-  looked_ = now;
-  changed_ = false;
-  const GossipItems items = state_.TakeNews(kMostPlaced);
+  last_check_ = now;
+  tracker_update_pending_ = false;
+  const GossipItems items = state_.TakeNews(kMaxPlacedPerMessage);
   for (NewsForTracker& to : tracked_news_.Collect(OwnLoads(), items, trackers_, now)) {
-    GossipMessage news = MakeHead();
+    GossipMessage news = MakeHeader();
     news.loads = std::move(to.loads);
     news.items = std::move(to.items);
     SendTo(to.tracker.ip, EncodeNews(news));
   }
-  // What was more than one message takes comes next.
-  changed_ = changed_ || !state_.news().placed.empty();
+  // Items that did not fit into one message go out next.
+  tracker_update_pending_ = tracker_update_pending_ || !state_.news().placed.empty();
 }
 
 std::vector<LoadUpdate> PeerLink::OwnLoads() const {
@@ -174,7 +178,7 @@
   return loads;
 }
 
-GossipMessage PeerLink::MakeHead() {
+GossipMessage PeerLink::MakeHeader() {
   GossipMessage news;
   news.daemon = options_.self;
   news.incarnation = incarnation_;
@@ -183,9 +187,9 @@
 }
 
 GossipMessage PeerLink::MakeNews() {
-  GossipMessage news = MakeHead();
+  GossipMessage news = MakeHeader();
   news.loads = OwnLoads();
-  news.items = state_.TakeNews(kMostPlaced);
+  news.items = state_.TakeNews(kMaxPlacedPerMessage);
   const TimePoint now = Clock::now();
   if (now - last_namings_ >= options_.heartbeat) {
     last_namings_ = now;
@@ -197,7 +201,7 @@
 void PeerLink::SendTo(const net::ip::address& address, const std::string& datagram) {
   ErrorCode error;
   socket_.send_to(net::buffer(datagram), {address, options_.port}, 0, error);
-  // A full buffer or an unreachable peer: the next message follows soon.
+  // The buffer is full or the peer unreachable; the next message follows soon.
   if (error) state_.metrics().GetCounter("ridgehold_peer_messages_dropped").Add();
 }
 
@@ -214,17 +218,17 @@
     const std::size_t bytes = co_await socket_.async_receive_from(
         net::buffer(buffer_), sender, net::redirect_error(net::use_awaitable, error));
     if (error == net::error::operation_aborted) co_return;
-    if (!error) Take(bytes, sender);
+    if (!error) HandleDatagram(bytes, sender);
   }
 }
 
-void PeerLink::Take(std::size_t bytes, const net::ip::udp::endpoint& sender) {
+void PeerLink::HandleDatagram(std::size_t bytes, const net::ip::udp::endpoint& sender) {
   ValueOr(
       [&]() -> Result<void> {
         BOOST_LEAF_AUTO(message, DecodePeerMessage({buffer_.data(), bytes}));
         const TimePoint now = Clock::now();
-        NoteTurn(now);
-        TakeMessage(message, sender, now);
+        DetectSuspension(now);
+        HandleMessage(message, sender, now);
         return {};
       },
       [&](const Failure& failure) {
@@ -234,36 +238,36 @@
       });
 }
 
-void PeerLink::TakeMessage(const PeerMessage& message, const net::ip::udp::endpoint& sender,
-                           TimePoint now) {
-  // An old one is told by its number.
+void PeerLink::HandleMessage(const PeerMessage& message, const net::ip::udp::endpoint& sender,
+                             TimePoint now) {
+  // Stale messages are detected by their request id.
   if (const auto* quota = std::get_if<QuotaMessage>(&message)) {
-    if (on_quota_) on_quota_(*quota, sender.address().to_string());
+    if (quota_listener_) quota_listener_(*quota, sender.address().to_string());
     return;
   }
-  // Holds for good, however old.
+  // Valid at any age.
   if (const auto* poison = std::get_if<PoisonNews>(&message)) {
     return state_.poison().Take(*poison, now);
   }
-  // The number tells an old one, but for rests.
+  // Stale messages are detected by their version number, except for rests.
   if (const auto* words = std::get_if<BackendNewsList>(&message)) {
-    return TakeWords(*words, sender.address(), now);
+    return HandleBackendNotices(*words, sender.address(), now);
   }
   if (now < stale_until_) return;
   if (const auto* question = std::get_if<LoadQuestionMessage>(&message)) {
-    SendTo(sender.address(), Encode(asker_.Answer(*question, now)));
+    SendTo(sender.address(), Encode(load_queries_.Answer(*question, now)));
   } else if (const auto* answer = std::get_if<LoadAnswerMessage>(&message)) {
-    asker_.Take(*answer, sender.address().to_string());
+    load_queries_.HandleAnswer(*answer, sender.address().to_string());
   } else if (const auto& news = std::get<GossipMessage>(message); news.daemon != options_.self) {
-    loads_.Take(news, now);
-    TakeNamings(state_.named_weights(), news.namings, now);
+    loads_.Apply(news, now);
+    ApplyNamings(state_.named_weights(), news.namings, now);
   }
 }
 
-void PeerLink::NoteTurn(TimePoint now) {
-  const TimePoint last = std::exchange(last_turn_, now);
-  if (last == TimePoint() || now - last < options_.standstill) return;
-  stale_until_ = now + options_.stale_after_standstill;
+void PeerLink::DetectSuspension(TimePoint now) {
+  const TimePoint last = std::exchange(last_run_, now);
+  if (last == TimePoint() || now - last < options_.suspension_threshold) return;
+  stale_until_ = now + options_.stale_after_suspension;
   const auto length = std::chrono::duration_cast<std::chrono::milliseconds>(now - last);
   state_.metrics().GetCounter("ridgehold_standstills").Add();
   Log(LogLevel::kWarn, "stood still", {{"ms", std::to_string(length.count())}});
--- a/libs/peers/src/peer_loads.cc
+++ b/libs/peers/src/peer_loads.cc
@@ -4,20 +4,20 @@
 
 namespace ridgehold {
 
-bool PeerLoads::Take(const GossipMessage& news, TimePoint now) {
+bool PeerLoads::Apply(const GossipMessage& news, TimePoint now) {
   Peer& peer = peers_[news.daemon];
   const bool known = peer.incarnation == news.incarnation;
   if (known && news.sequence <= peer.sequence) return false;
   Subtract(peer.loads);
   peer = {news.incarnation, news.sequence, news.loads, now};
   Add(peer.loads);
-  TakeItems(news.items, now);
+  ApplyItems(news.items, now);
   return true;
 }
 
 void PeerLoads::Expire(TimePoint now) {
   std::erase_if(peers_, [&](const auto& entry) {
-    const bool silent = now - entry.second.heard >= kForgetAfter;
+    const bool silent = now - entry.second.heard >= kPeerTimeout;
     if (silent) Subtract(entry.second.loads);
     return silent;
   });
@@ -40,7 +40,7 @@
   for (const LoadUpdate& load : loads) {
     const BackendPtr backend = state_.directory().FindByHash(load.backend);
     if (!backend) continue;
-    // A backend server may have been added between; nothing goes below zero.
+    // The backend server may have been added after the load was; do not go below zero.
     PeerLoad& work = backend->direct_peers;
     work.running -= std::min(work.running, load.running);
     work.unread_tokens -= std::min(work.unread_tokens, load.unread_tokens);
@@ -57,7 +57,7 @@
   return load == peer->second.loads.end() ? LoadUpdate() : *load;
 }
 
-void PeerLoads::TakeItems(const GossipItems& items, TimePoint now) {
+void PeerLoads::ApplyItems(const GossipItems& items, TimePoint now) {
   for (const PlacementUpdate& placed : items.placed) state_.TakePlaced(placed, now);
   for (const HoldUpdate& hold : items.holds) {
     if (const BackendPtr backend = state_.directory().FindByHash(hold.backend)) {
--- a/libs/peers/src/poison_gossip.cc
+++ b/libs/peers/src/poison_gossip.cc
@@ -2,10 +2,10 @@
 
 namespace ridgehold {
 
-void AppendNews(PoisonNews& to, const PoisonNews& news, std::size_t most) {
-  AppendItems(to.ends, news.ends, most);
-  AppendItems(to.survived, news.survived, most);
-  AppendItems(to.quarantined, news.quarantined, most);
+void AppendNews(PoisonNews& to, const PoisonNews& news, std::size_t max_items) {
+  AppendItems(to.ends, news.ends, max_items);
+  AppendItems(to.survived, news.survived, max_items);
+  AppendItems(to.quarantined, news.quarantined, max_items);
 }
 
 }  // namespace ridgehold
--- a/libs/peers/src/quota_codec.cc
+++ b/libs/peers/src/quota_codec.cc
@@ -10,10 +10,10 @@
 namespace ridgehold {
 namespace {
 
-/// Amounts are never negative, whatever the bytes say.
-QuotaParts PartsOf(std::uint64_t value) {
-  constexpr std::uint64_t kMost = std::numeric_limits<QuotaParts>::max();
-  return static_cast<QuotaParts>(std::min(value, kMost));
+/// Amounts are never negative, whatever was received.
+QuotaAmount PartsOf(std::uint64_t value) {
+  constexpr std::uint64_t kMost = std::numeric_limits<QuotaAmount>::max();
+  return static_cast<QuotaAmount>(std::min(value, kMost));
 }
 
 template <class Body>
@@ -31,13 +31,13 @@
   wire::QuotaRequest& body = *message.mutable_quota_request();
   EncodeId(request.id, body);
   body.set_subject(request.subject.value());
-  body.set_parts(static_cast<std::uint64_t>(request.parts));
+  body.set_parts(static_cast<std::uint64_t>(request.amount));
   body.set_is_loan(request.is_loan);
-  body.set_config(request.terms.config_version);
-  body.set_rate(request.terms.bursting.tokens_per_s);
-  body.set_burst(request.terms.bursting.burst);
-  body.set_steady_rate(request.terms.steady.tokens_per_s);
-  body.set_steady_burst(request.terms.steady.burst);
+  body.set_config(request.limits.config_version);
+  body.set_rate(request.limits.bursting.tokens_per_s);
+  body.set_burst(request.limits.bursting.burst);
+  body.set_steady_rate(request.limits.steady.tokens_per_s);
+  body.set_steady_burst(request.limits.steady.burst);
 }
 
 void EncodeInto(const QuotaReply& reply, wire::GatewayNews& message) {
@@ -56,9 +56,9 @@
   QuotaRequest request;
   request.id = DecodeId(body);
   request.subject = QuotaSubject(body.subject());
-  request.parts = PartsOf(body.parts());
+  request.amount = PartsOf(body.parts());
   request.is_loan = body.is_loan();
-  request.terms = {
+  request.limits = {
       body.config(), {body.rate(), body.burst()}, {body.steady_rate(), body.steady_burst()}};
   return request;
 }
--- a/libs/peers/src/quota_link.cc
+++ b/libs/peers/src/quota_link.cc
@@ -10,10 +10,10 @@
 namespace ridgehold {
 namespace {
 
-// Without a loan that is waited for there is nothing to look after.
-constexpr Duration kNoLoan = std::chrono::seconds(60);
-// A raised quota is in force at its holders within this, beyond the configuration's way.
-constexpr Duration kHolderLook = std::chrono::milliseconds(100);
+// Wake-up interval while there is nothing to hold and no loan to time out.
+constexpr Duration kIdleInterval = std::chrono::seconds(60);
+// Holders apply a raised quota within this time after the configuration has arrived.
+constexpr Duration kRefreshInterval = std::chrono::milliseconds(100);
 
 QuotaHolder::Options HolderOptions(std::uint32_t shares) {
   QuotaHolder::Options options;
@@ -30,91 +30,92 @@
 }  // namespace
 
 QuotaLink::QuotaLink(net::any_io_executor executor, Metrics& metrics, const Options& options,
-                     Surroundings surroundings)
+                     Callbacks callbacks)
     : executor_(executor),
       metrics_(metrics),
       name_(options.name),
       address_(options.address),
       incarnation_(options.incarnation),
-      surroundings_(std::move(surroundings)),
+      callbacks_(std::move(callbacks)),
       client_(ClientOptions(options.shares), options.incarnation),
       holder_(HolderOptions(options.shares)),
-      loans_timer_(executor) {}
+      holder_timer_(executor) {}
 
 net::awaitable<QuotaOutcome> QuotaLink::Acquire(QuotaDemand demand) {
-  const TimePoint began = Clock::now();
+  const TimePoint start = Clock::now();
   QuotaOutbox outbox;
-  FindHolders(demand.subject);
-  const std::uint64_t number = client_.Begin(demand, began, outbox);
+  UpdateHolders(demand.subject);
+  const std::uint64_t acquisition_id = client_.Start(demand, start, outbox);
   Timer timer(executor_);
-  waiting_[number] = &timer;
-  Deliver(std::move(outbox));
-  std::optional<QuotaOutcome> outcome = client_.TakeOutcome(number);
+  waiters_[acquisition_id] = &timer;
+  Dispatch(std::move(outbox));
+  std::optional<QuotaOutcome> outcome = client_.TakeOutcome(acquisition_id);
   while (!outcome) {
-    co_await WaitUntil(timer, client_.NextTick(number));
-    FindHolders(demand.subject);
-    Deliver(client_.Tick(number, Clock::now()));
-    outcome = client_.TakeOutcome(number);
+    co_await WaitUntil(timer, client_.NextTick(acquisition_id));
+    UpdateHolders(demand.subject);
+    Dispatch(client_.Tick(acquisition_id, Clock::now()));
+    outcome = client_.TakeOutcome(acquisition_id);
   }
-  waiting_.erase(number);
+  waiters_.erase(acquisition_id);
   metrics_.GetSummary("ridgehold_quota_asking_seconds")
-      .Observe(std::chrono::duration<double>(Clock::now() - began).count());
+      .Observe(std::chrono::duration<double>(Clock::now() - start).count());
   co_return std::move(*outcome);
 }
 
-void QuotaLink::FindHolders(const QuotaSubject& subject) {
-  QuotaHolders holders = surroundings_.find_holders(subject);
+void QuotaLink::UpdateHolders(const QuotaSubject& subject) {
+  QuotaHolders holders = callbacks_.find_holders(subject);
   client_.SetHolders(std::move(holders.own_zone), std::move(holders.others));
 }
 
-void QuotaLink::Take(const QuotaMessage& message, const std::string& from) {
-  Deliver(TakeOne(message, from));
+void QuotaLink::Handle(const QuotaMessage& message, const std::string& from) {
+  Dispatch(HandleOne(message, from));
 }
 
-QuotaOutbox QuotaLink::TakeOne(const QuotaMessage& message, const std::string& from) {
+QuotaOutbox QuotaLink::HandleOne(const QuotaMessage& message, const std::string& from) {
   const TimePoint now = Clock::now();
   if (const auto* request = std::get_if<QuotaRequest>(&message)) {
-    return Holder(now).Take(*request, from, now);
+    return RefreshHolder(now).Handle(*request, from, now);
   }
   if (const auto* refund = std::get_if<QuotaRefund>(&message))
-    return Holder(now).Take(*refund, now);
+    return RefreshHolder(now).Handle(*refund, now);
   const auto& reply = std::get<QuotaReply>(message);
-  const auto number = client_.NumberOf(reply.id);
-  if (!number) return Holder(now).Take(reply, now);
-  QuotaOutbox outbox = client_.Take(reply, from, now);
-  const auto waiting = waiting_.find(*number);
-  if (waiting != waiting_.end()) waiting->second->cancel();
+  const auto acquisition_id = client_.FindAcquisition(reply.id);
+  if (!acquisition_id) return RefreshHolder(now).Handle(reply, now);
+  QuotaOutbox outbox = client_.Handle(reply, from, now);
+  const auto waiter = waiters_.find(*acquisition_id);
+  if (waiter != waiters_.end()) waiter->second->cancel();
   return outbox;
 }
 
-void QuotaLink::Deliver(QuotaOutbox outbox) {
-  std::deque<QuotaOutgoing> left(std::make_move_iterator(outbox.begin()),
-                                 std::make_move_iterator(outbox.end()));
-  while (!left.empty()) {
-    const QuotaOutgoing next = std::move(left.front());
-    left.pop_front();
+void QuotaLink::Dispatch(QuotaOutbox outbox) {
+  std::deque<QuotaOutgoing> pending(std::make_move_iterator(outbox.begin()),
+                                    std::make_move_iterator(outbox.end()));
+  while (!pending.empty()) {
+    const QuotaOutgoing next = std::move(pending.front());
+    pending.pop_front();
     if (next.to != address_) {
-      surroundings_.send(next.to, next.message);
+      callbacks_.send(next.to, next.message);
       continue;
     }
-    for (QuotaOutgoing& more : TakeOne(next.message, address_)) left.push_back(std::move(more));
+    for (QuotaOutgoing& more : HandleOne(next.message, address_))
+      pending.push_back(std::move(more));
   }
-  if (holder_.NextTick()) loans_timer_.cancel();
+  if (holder_.NextTick()) holder_timer_.cancel();
 }
 
-QuotaHolder& QuotaLink::Holder(TimePoint now) {
+QuotaHolder& QuotaLink::RefreshHolder(TimePoint now) {
   const bool was_holding = holder_.holding();
-  holder_.SetHeld(surroundings_.find_taking(now));
+  holder_.SetLease(callbacks_.find_lease(now));
   if (holder_.holding()) {
-    holder_.SetLenders(surroundings_.find_lenders());
-    for (const auto& [subject, terms] : surroundings_.take_new_terms()) {
-      holder_.NoteTerms(subject, terms, now);
+    holder_.SetLenders(callbacks_.find_lenders());
+    for (const auto& [subject, limits] : callbacks_.take_changed_limits()) {
+      holder_.UpdateLimits(subject, limits, now);
     }
   }
   if (was_holding != holder_.holding()) {
     Log(LogLevel::kInfo, holder_.holding() ? "quota share held" : "quota share not held",
         {{"counts", name_}});
-    loans_timer_.cancel();
+    holder_timer_.cancel();
   }
   return holder_;
 }
@@ -122,21 +123,21 @@
 net::awaitable<void> QuotaLink::Run() {
   while (!stopped_) {
     const TimePoint now = Clock::now();
-    Deliver(Holder(now).Tick(now));
-    const Duration rest = holder_.holding() ? kHolderLook : kNoLoan;
-    const TimePoint next = holder_.NextTick().value_or(now + rest);
-    co_await WaitUntil(loans_timer_, next);
+    Dispatch(RefreshHolder(now).Tick(now));
+    const Duration interval = holder_.holding() ? kRefreshInterval : kIdleInterval;
+    const TimePoint next = holder_.NextTick().value_or(now + interval);
+    co_await WaitUntil(holder_timer_, next);
   }
 }
 
 void QuotaLink::Stop() {
   stopped_ = true;
-  loans_timer_.cancel();
+  holder_timer_.cancel();
 }
 
 std::vector<QuotaHolder::Usage> QuotaLink::Usages() {
   const TimePoint now = Clock::now();
-  return Holder(now).Usages(now);
+  return RefreshHolder(now).Usages(now);
 }
 
 }  // namespace ridgehold
--- a/libs/peers/src/recent_namings.cc
+++ b/libs/peers/src/recent_namings.cc
@@ -6,15 +6,15 @@
 namespace ridgehold {
 namespace {
 
-// A rollout that is more namings behind has other troubles.
-constexpr std::size_t kMostNamings = 6;
+// A rollout that lags by more announcements than this is not helped by older ones.
+constexpr std::size_t kMaxNamings = 6;
 
 }  // namespace
 
 std::vector<AnnouncementUpdate> RecentNamings(const WeightsHistory& named, TimePoint now) {
   std::vector<AnnouncementUpdate> recent;
   for (const auto& [model, namings] : named.all()) {
-    const std::size_t skipped = namings.size() - std::min(namings.size(), kMostNamings);
+    const std::size_t skipped = namings.size() - std::min(namings.size(), kMaxNamings);
     for (std::size_t i = skipped; i < namings.size(); ++i) {
       if (namings[i].assumed) continue;
       const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - namings[i].at);
@@ -24,8 +24,8 @@
   return recent;
 }
 
-void TakeNamings(WeightsHistory& named, const std::vector<AnnouncementUpdate>& namings,
-                 TimePoint now) {
+void ApplyNamings(WeightsHistory& named, const std::vector<AnnouncementUpdate>& namings,
+                  TimePoint now) {
   for (const AnnouncementUpdate& naming : namings) {
     named.Record(naming.model, naming.number, now - naming.age);
   }
--- a/libs/peers/src/store_copy.cc
+++ b/libs/peers/src/store_copy.cc
@@ -24,9 +24,9 @@
   wire::StoreCopy message;
   message.set_revision(copy.revision.value());
   message.set_age_ms(static_cast<std::uint32_t>(copy.age.count()));
-  message.set_whole(copy.whole);
+  message.set_whole(copy.is_snapshot);
   message.set_grace_ms(static_cast<std::uint32_t>(copy.grace.count()));
-  message.set_store_lost(copy.store_lost);
+  message.set_store_lost(copy.store_unreachable);
   for (const StoreEvent& change : copy.changes) {
     wire::StoredItem& entry = *message.add_items();
     entry.set_key(change.key);
@@ -40,14 +40,14 @@
 Result<StoreCopy> DecodeStoreCopy(std::string_view bytes) {
   wire::StoreCopy message;
   if (!message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
-    return Fail(ResultCode::kMalformedPeerMessage, "not a copy of the store");
+    return Fail(ResultCode::kMalformedPeerMessage, "store copy cannot be parsed");
   }
   StoreCopy copy;
   copy.revision = StoreRevision(message.revision());
   copy.age = std::chrono::milliseconds(message.age_ms());
-  copy.whole = message.whole();
+  copy.is_snapshot = message.whole();
   copy.grace = std::chrono::milliseconds(message.grace_ms());
-  copy.store_lost = message.store_lost();
+  copy.store_unreachable = message.store_lost();
   for (const wire::StoredItem& entry : message.items()) {
     copy.changes.push_back(DecodeChange(entry));
   }
--- a/libs/peers/src/tracker_map.cc
+++ b/libs/peers/src/tracker_map.cc
@@ -17,8 +17,8 @@
 }  // namespace
 
 void TrackerMap::SetGateways(const std::vector<Member>& members, TimePoint now) {
-  // Of those that are there at the first look nothing is known.
-  const TimePoint young_until = gateways_.empty() ? TimePoint() : now + kYouth;
+  // On the first call the age of the processes is unknown; assume that none started recently.
+  const TimePoint warming_until = gateways_.empty() ? TimePoint() : now + kWarmup;
   std::vector<Gateway> gateways;
   for (const Member& member : members) {
     ErrorCode error;
@@ -29,7 +29,7 @@
     gateway.zone = member.zone;
     gateway.hash = XXH3_64bits(member.address.data(), member.address.size());
     gateway.marked = member.key_revision;
-    gateway.young_until = young_until;
+    gateway.warming_until = warming_until;
     const Gateway* known = Find(member.address);
     if (known != nullptr && known->marked == member.key_revision) gateway = *known;
     gateways.push_back(std::move(gateway));
@@ -37,21 +37,21 @@
   gateways_ = std::move(gateways);
 }
 
-TrackerMap::Place TrackerMap::PlaceOf(const Gateway& gateway, std::uint64_t hash,
-                                      const ZoneId& zone, TimePoint now) {
-  return {gateway.silent_until <= now, gateway.zone == zone, gateway.young_until <= now,
+TrackerMap::Priority TrackerMap::PriorityOf(const Gateway& gateway, std::uint64_t hash,
+                                            const ZoneId& zone, TimePoint now) {
+  return {gateway.unresponsive_until <= now, gateway.zone == zone, gateway.warming_until <= now,
           Rank(gateway.hash, hash)};
 }
 
 const TrackerMap::Gateway* TrackerMap::TrackerOf(std::uint64_t hash, const ZoneId& zone,
                                                  TimePoint now) const {
   const Gateway* best = nullptr;
-  Place best_place;
+  Priority best_priority;
   for (const Gateway& gateway : gateways_) {
-    const Place place = PlaceOf(gateway, hash, zone, now);
-    if (best != nullptr && place <= best_place) continue;
+    const Priority priority = PriorityOf(gateway, hash, zone, now);
+    if (best != nullptr && priority <= best_priority) continue;
     best = &gateway;
-    best_place = place;
+    best_priority = priority;
   }
   return best;
 }
@@ -59,18 +59,18 @@
 std::vector<const TrackerMap::Gateway*> TrackerMap::TrackersOf(std::uint64_t hash,
                                                                const ZoneId& zone,
                                                                TimePoint now) const {
-  std::vector<std::pair<Place, const Gateway*>> first;
+  std::vector<std::pair<Priority, const Gateway*>> best_ranked;
   for (const Gateway& gateway : gateways_) {
-    Place place = PlaceOf(gateway, hash, zone, now);
-    place.grown = true;
-    first.emplace_back(place, &gateway);
-    std::ranges::sort(first, std::greater());
-    if (first.size() > kTold) first.pop_back();
+    Priority priority = PriorityOf(gateway, hash, zone, now);
+    priority.warmed_up = true;
+    best_ranked.emplace_back(priority, &gateway);
+    std::ranges::sort(best_ranked, std::greater());
+    if (best_ranked.size() > kTrackersPerBackend) best_ranked.pop_back();
   }
   std::vector<const Gateway*> trackers;
-  trackers.reserve(first.size() + 1);
-  for (const auto& [place, gateway] : first) trackers.push_back(gateway);
-  // With both of them young, whoever is asked instead has to be told, too.
+  trackers.reserve(best_ranked.size() + 1);
+  for (const auto& [priority, gateway] : best_ranked) trackers.push_back(gateway);
+  // If both started recently, the gateway that is queried instead must be updated as well.
   const Gateway* asked = TrackerOf(hash, zone, now);
   if (asked != nullptr && std::ranges::find(trackers, asked) == trackers.end()) {
     trackers.push_back(asked);
@@ -83,23 +83,23 @@
   return found == gateways_.end() ? nullptr : &*found;
 }
 
-TrackerMap::Gateway* TrackerMap::FindOwn(const std::string& address) {
+TrackerMap::Gateway* TrackerMap::FindMutable(const std::string& address) {
   return const_cast<Gateway*>(Find(address));
 }
 
-void TrackerMap::NoteMiss(const std::string& address, TimePoint now) {
-  Gateway* gateway = FindOwn(address);
-  if (gateway == nullptr || ++gateway->misses < kMissesUntilSilent) return;
-  // One more miss is enough when its time is over.
-  gateway->misses = kMissesUntilSilent - 1;
-  gateway->silent_until = now + kSilence;
+void TrackerMap::RecordMiss(const std::string& address, TimePoint now) {
+  Gateway* gateway = FindMutable(address);
+  if (gateway == nullptr || ++gateway->misses < kMaxMisses) return;
+  // After the cool-down a single miss is enough.
+  gateway->misses = kMaxMisses - 1;
+  gateway->unresponsive_until = now + kUnresponsiveCooldown;
 }
 
-void TrackerMap::NoteHeard(const std::string& address) {
-  Gateway* gateway = FindOwn(address);
+void TrackerMap::RecordAnswer(const std::string& address) {
+  Gateway* gateway = FindMutable(address);
   if (gateway == nullptr) return;
   gateway->misses = 0;
-  gateway->silent_until = {};
+  gateway->unresponsive_until = {};
 }
 
 }  // namespace ridgehold
--- a/libs/peers/test/peers-test.cc
+++ b/libs/peers/test/peers-test.cc
@@ -44,35 +44,35 @@
 
 BOOST_FIXTURE_TEST_SUITE(peers, Fixture)
 
-BOOST_AUTO_TEST_CASE(work_of_peers_adds_up_and_is_replaced_by_newer_news) {
-  loads.Take(News("d1", 1, 3), kStart);
-  loads.Take(News("d2", 1, 4), kStart);
+BOOST_AUTO_TEST_CASE(peer_loads_add_up_and_are_replaced_by_newer_messages) {
+  loads.Apply(News("d1", 1, 3), kStart);
+  loads.Apply(News("d2", 1, 4), kStart);
   BOOST_TEST(backend().peers.running == 7);
-  loads.Take(News("d1", 2, 1), kStart);
+  loads.Apply(News("d1", 2, 1), kStart);
   BOOST_TEST(backend().peers.running == 5);
   BOOST_TEST(backend().peers.unread_tokens == 500);
-  loads.Take(News("d1", 3, 0), kStart);
-  loads.Take(News("d2", 2, 0), kStart);
+  loads.Apply(News("d1", 3, 0), kStart);
+  loads.Apply(News("d2", 2, 0), kStart);
   BOOST_TEST(backend().peers.running == 0);
   BOOST_TEST(backend().peers.unrepeatable == 0);
 }
 
-BOOST_AUTO_TEST_CASE(overtaken_message_changes_nothing) {
-  loads.Take(News("d1", 5, 3), kStart);
-  BOOST_TEST(!loads.Take(News("d1", 4, 9), kStart));
+BOOST_AUTO_TEST_CASE(reordered_message_is_ignored) {
+  loads.Apply(News("d1", 5, 3), kStart);
+  BOOST_TEST(!loads.Apply(News("d1", 4, 9), kStart));
   BOOST_TEST(backend().peers.running == 3);
 }
 
-BOOST_AUTO_TEST_CASE(restarted_peer_begins_anew) {
-  loads.Take(News("d1", 50, 3), kStart);
+BOOST_AUTO_TEST_CASE(restarted_peer_resets_its_sequence) {
+  loads.Apply(News("d1", 50, 3), kStart);
   GossipMessage news = News("d1", 1, 2);
   news.incarnation = 2;
-  BOOST_TEST(loads.Take(news, kStart));
+  BOOST_TEST(loads.Apply(news, kStart));
   BOOST_TEST(backend().peers.running == 2);
 }
 
-BOOST_AUTO_TEST_CASE(silent_peer_is_forgotten) {
-  loads.Take(News("d1", 1, 3), kStart);
+BOOST_AUTO_TEST_CASE(silent_peer_expires) {
+  loads.Apply(News("d1", 1, 3), kStart);
   loads.Expire(kStart + 1s);
   BOOST_TEST(loads.size() == 1);
   loads.Expire(kStart + 2s);
@@ -80,9 +80,10 @@
   BOOST_TEST(backend().peers.running == 0);
 }
 
-BOOST_AUTO_TEST_CASE(words_of_backend_servers_are_whole_after_the_way) {
+BOOST_AUTO_TEST_CASE(backend_notices_round_trip) {
   BackendNewsList sent;
-  sent.items.push_back({5, 3, RequestRate::Of(1.2), true, std::chrono::milliseconds(2'500)});
+  sent.items.push_back(
+      {5, 3, RequestRate::FromPerSecond(1.2), true, std::chrono::milliseconds(2'500)});
   sent.items.push_back({6, 1, std::nullopt, false, std::nullopt});
   const auto decoded = DecodePeerMessage(Encode(DaemonId("d1"), sent));
   BOOST_REQUIRE(static_cast<bool>(decoded));
@@ -91,32 +92,32 @@
   BOOST_TEST((news->items == sent.items));
 }
 
-BOOST_AUTO_TEST_CASE(news_of_unknown_backend_servers_is_passed_over) {
+BOOST_AUTO_TEST_CASE(unknown_backend_servers_are_ignored) {
   GossipMessage news = News("d1", 1, 3);
   news.loads[0].backend = 77;
   news.items.holds = {{77, 1s}};
   news.items.placed = {{77, 10, 4, {{1, 3}, {2, 3}}}};
-  BOOST_TEST(loads.Take(news, kStart));
+  BOOST_TEST(loads.Apply(news, kStart));
   BOOST_TEST(backend().peers.running == 0);
 }
 
-BOOST_AUTO_TEST_CASE(holds_parts_and_weights_are_taken) {
+BOOST_AUTO_TEST_CASE(holds_prefixes_and_weights_are_applied) {
   GossipMessage news = News("d1", 1, 0);
   const BackendHash hash = HashOf(BackendId("b"));
   news.items.holds = {{hash, 2s}};
   news.items.weights = {{hash, kModel, WeightsNumber(3)}};
-  loads.Take(news, kStart);
+  loads.Apply(news, kStart);
   BOOST_TEST((backend().hold_until == kStart + 2s));
   BOOST_TEST((backend().weights.at(kModel) == WeightsNumber(3)));
   news.sequence = 2;
   news.items = {};
   news.items.placed = {{hash, 400, 100, {{11, 200}, {12, 100}}}};
-  loads.Take(news, kStart);
+  loads.Apply(news, kStart);
   BOOST_TEST(backend().cache.Contains(11));
   BOOST_TEST(backend().cache.tokens() == 400U);
 }
 
-RC_BOOST_PROP(message_survives_its_encoding, ()) {
+RC_BOOST_PROP(news_round_trips, ()) {
   GossipMessage news;
   news.daemon = DaemonId("d" + *rc::gen::arbitrary<std::string>());
   news.incarnation = *rc::gen::arbitrary<std::uint64_t>();
@@ -135,7 +136,7 @@
   RC_ASSERT(EncodeNews(*decoded) == EncodeNews(news));
 }
 
-RC_BOOST_PROP(question_and_answer_survive_their_encoding, ()) {
+RC_BOOST_PROP(question_and_answer_round_trip, ()) {
   LoadQuestionMessage question;
   question.daemon = DaemonId("d");
   question.id = *rc::gen::arbitrary<std::uint64_t>();
@@ -163,19 +164,19 @@
   RC_ASSERT(FailureOf([&] { return DecodeNews(Encode(answer)); }).has_value());
 }
 
-RC_BOOST_PROP(any_bytes_are_read_or_refused, (const std::string& bytes)) {
+RC_BOOST_PROP(any_bytes_are_decoded_or_rejected, (const std::string& bytes)) {
   FailureOf([&] { return DecodeNews(bytes); });
   FailureOf([&] { return DecodePeerMessage(bytes); });
   FailureOf([&] { return DecodeStoreCopy(bytes); });
 }
 
-BOOST_AUTO_TEST_CASE(copy_of_the_store_survives_its_encoding) {
+BOOST_AUTO_TEST_CASE(store_copy_round_trips) {
   StoreCopy copy;
   copy.revision = StoreRevision(9);
   copy.age = 120ms;
-  copy.whole = true;
+  copy.is_snapshot = true;
   copy.grace = 1'700ms;
-  copy.store_lost = true;
+  copy.store_unreachable = true;
   copy.changes = {
       {"key", StoreRevision(4), StoreItem{"key", std::string("\0\xff", 2), StoreRevision(4), {}}},
       {"gone", StoreRevision(5), std::nullopt}};
@@ -183,9 +184,9 @@
   BOOST_REQUIRE(decoded.has_value());
   BOOST_TEST((decoded->revision == copy.revision));
   BOOST_TEST((decoded->age == copy.age));
-  BOOST_TEST(decoded->whole);
+  BOOST_TEST(decoded->is_snapshot);
   BOOST_TEST((decoded->grace == copy.grace));
-  BOOST_TEST(decoded->store_lost);
+  BOOST_TEST(decoded->store_unreachable);
   BOOST_TEST(decoded->changes.at(0).item->value == copy.changes[0].item->value);
   BOOST_TEST(!decoded->changes.at(1).item.has_value());
 }
--- a/libs/peers/test/poison_gossip-test.cc
+++ b/libs/peers/test/poison_gossip-test.cc
@@ -20,33 +20,33 @@
 
 BOOST_AUTO_TEST_SUITE(poison_gossip)
 
-BOOST_AUTO_TEST_CASE(item_is_told_three_times_within_half_a_second) {
+BOOST_AUTO_TEST_CASE(item_is_sent_three_times_within_half_a_second) {
   PoisonGossip gossip;
   gossip.Add(OneEnd(), kStart);
-  int told = 0;
+  int sent_count = 0;
   for (TimePoint now = kStart; now < kStart + 2s; now += 1ms) {
-    if (!gossip.TakeDue(now).empty()) ++told;
+    if (!gossip.TakeDue(now).empty()) ++sent_count;
   }
-  BOOST_TEST(told == 3);
+  BOOST_TEST(sent_count == 3);
   BOOST_TEST((gossip.NextDue(kStart + 2s) > kStart + 3s));
 }
 
-BOOST_AUTO_TEST_CASE(what_comes_up_together_goes_out_together_and_soon) {
+BOOST_AUTO_TEST_CASE(simultaneous_items_are_batched_and_sent_promptly) {
   PoisonGossip gossip;
   for (int i = 0; i < 5; ++i) gossip.Add(OneEnd(), kStart);
   BOOST_TEST((gossip.NextDue(kStart) <= kStart + 1ms));
   BOOST_TEST(gossip.TakeDue(kStart + 1ms).ends.size() == 5U);
 }
 
-BOOST_AUTO_TEST_CASE(flood_keeps_datagrams_and_memory_bounded) {
+BOOST_AUTO_TEST_CASE(flood_is_bounded_in_datagram_size_and_memory) {
   PoisonGossip gossip;
   for (int i = 0; i < 50'000; ++i) gossip.Add(OneEnd(), kStart);
   const PoisonNews due = gossip.TakeDue(kStart + 1ms);
-  BOOST_TEST(due.ends.size() <= PoisonGossip::kMostTold);
+  BOOST_TEST(due.ends.size() <= PoisonGossip::kMaxItemsPerMessage);
   BOOST_TEST(Encode(DaemonId("d"), due).size() < 60'000U);
 }
 
-BOOST_AUTO_TEST_CASE(news_survives_the_wire) {
+BOOST_AUTO_TEST_CASE(poison_news_round_trips) {
   PoisonNews news = OneEnd();
   news.survived.emplace_back(8);
   news.quarantined.emplace_back(9);
--- a/libs/peers/test/tracker_map-test.cc
+++ b/libs/peers/test/tracker_map-test.cc
@@ -34,8 +34,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(tracker_map, Fixture)
 
-// The size: 49 gateways and 40 engines a zone.
-BOOST_AUTO_TEST_CASE(engines_are_tracked_in_their_zone_and_spread) {
+// Fleet size: 49 gateways and 40 engines in each zone.
+BOOST_AUTO_TEST_CASE(engines_are_tracked_in_their_zone_and_spread_evenly) {
   map.SetGateways(Members(6, 49), kStart);
   std::map<std::string, int> tracked;
   for (std::uint64_t engine = 0; engine < 40; ++engine) {
@@ -47,7 +47,7 @@
   for (const auto& [tracker, count] : tracked) BOOST_TEST(count <= 6);
 }
 
-BOOST_AUTO_TEST_CASE(order_in_which_gateways_are_known_does_not_matter) {
+BOOST_AUTO_TEST_CASE(result_does_not_depend_on_member_order) {
   map.SetGateways(Members(2, 20), kStart);
   TrackerMap other;
   std::vector<Member> members = Members(2, 20);
@@ -58,7 +58,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(gateway_that_goes_leaves_only_what_it_tracked) {
+BOOST_AUTO_TEST_CASE(leaving_gateway_moves_only_its_own_engines) {
   std::vector<Member> members = Members(1, 20);
   map.SetGateways(members, kStart);
   std::map<std::uint64_t, std::string> before;
@@ -71,61 +71,61 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(two_misses_in_a_row_hand_over_for_a_while) {
+BOOST_AUTO_TEST_CASE(two_consecutive_misses_fail_over_temporarily) {
   map.SetGateways(Members(1, 5), kStart);
   const std::string tracker = TrackerOf(7, "z0");
-  map.NoteMiss(tracker, kStart);
+  map.RecordMiss(tracker, kStart);
   BOOST_TEST(TrackerOf(7, "z0") == tracker);
-  map.NoteMiss(tracker, kStart);
+  map.RecordMiss(tracker, kStart);
   BOOST_TEST(TrackerOf(7, "z0") != tracker);
-  BOOST_TEST(TrackerOf(7, "z0", kStart + TrackerMap::kSilence) == tracker);
-  // Still silent then: one more miss is enough.
-  map.NoteMiss(tracker, kStart + TrackerMap::kSilence);
-  BOOST_TEST(TrackerOf(7, "z0", kStart + TrackerMap::kSilence) != tracker);
-  map.NoteHeard(tracker);
-  BOOST_TEST(TrackerOf(7, "z0", kStart + TrackerMap::kSilence) == tracker);
+  BOOST_TEST(TrackerOf(7, "z0", kStart + TrackerMap::kUnresponsiveCooldown) == tracker);
+  // Still unresponsive: one more miss is enough.
+  map.RecordMiss(tracker, kStart + TrackerMap::kUnresponsiveCooldown);
+  BOOST_TEST(TrackerOf(7, "z0", kStart + TrackerMap::kUnresponsiveCooldown) != tracker);
+  map.RecordAnswer(tracker);
+  BOOST_TEST(TrackerOf(7, "z0", kStart + TrackerMap::kUnresponsiveCooldown) == tracker);
 }
 
-BOOST_AUTO_TEST_CASE(silence_outlives_a_change_of_the_members) {
+BOOST_AUTO_TEST_CASE(cool_down_survives_a_membership_change) {
   map.SetGateways(Members(1, 5), kStart);
   const std::string tracker = TrackerOf(7, "z0");
-  map.NoteMiss(tracker, kStart);
-  map.NoteMiss(tracker, kStart);
+  map.RecordMiss(tracker, kStart);
+  map.RecordMiss(tracker, kStart);
   map.SetGateways(Members(1, 6), kStart);
   BOOST_TEST(TrackerOf(7, "z0") != tracker);
 }
 
-// The pattern: instances are restarted one after the other.
-BOOST_AUTO_TEST_CASE(process_that_has_just_started_is_told_but_not_asked) {
+// A rolling restart of instances.
+BOOST_AUTO_TEST_CASE(restarted_process_is_updated_but_not_queried) {
   std::vector<Member> members = Members(1, 10);
   map.SetGateways(members, kStart);
   const std::string tracker = TrackerOf(7, "z0");
-  const auto told = map.TrackersOf(7, ZoneId("z0"), kStart);
-  BOOST_REQUIRE(told.size() == TrackerMap::kTold);
-  BOOST_TEST(told[0]->address == tracker);
-  const std::string second = told[1]->address;
+  const auto updated = map.TrackersOf(7, ZoneId("z0"), kStart);
+  BOOST_REQUIRE(updated.size() == TrackerMap::kTrackersPerBackend);
+  BOOST_TEST(updated[0]->address == tracker);
+  const std::string second = updated[1]->address;
   for (Member& member : members) {
     if (member.address == tracker) member.key_revision = StoreRevision(2);
   }
   map.SetGateways(members, kStart + 1s);
   BOOST_TEST(TrackerOf(7, "z0", kStart + 1s) == second);
   BOOST_TEST(map.TrackersOf(7, ZoneId("z0"), kStart + 1s)[0]->address == tracker);
-  BOOST_TEST(TrackerOf(7, "z0", kStart + 1s + TrackerMap::kYouth) == tracker);
+  BOOST_TEST(TrackerOf(7, "z0", kStart + 1s + TrackerMap::kWarmup) == tracker);
 }
 
-BOOST_AUTO_TEST_CASE(whoever_is_asked_is_told) {
+BOOST_AUTO_TEST_CASE(queried_gateway_is_updated) {
   std::vector<Member> members = Members(1, 10);
   map.SetGateways(members, kStart);
   for (Member& member : members) {
-    const auto told = map.TrackersOf(7, ZoneId("z0"), kStart);
-    const bool is_told = std::ranges::any_of(
-        told, [&](const TrackerMap::Gateway* one) { return one->address == member.address; });
-    if (is_told) member.key_revision = StoreRevision(2);
+    const auto updated = map.TrackersOf(7, ZoneId("z0"), kStart);
+    const bool is_updated = std::ranges::any_of(
+        updated, [&](const TrackerMap::Gateway* one) { return one->address == member.address; });
+    if (is_updated) member.key_revision = StoreRevision(2);
   }
   map.SetGateways(members, kStart + 1s);
-  const auto told = map.TrackersOf(7, ZoneId("z0"), kStart + 1s);
-  BOOST_TEST(told.size() == TrackerMap::kTold + 1);
-  BOOST_TEST(told.back()->address == TrackerOf(7, "z0", kStart + 1s));
+  const auto updated = map.TrackersOf(7, ZoneId("z0"), kStart + 1s);
+  BOOST_TEST(updated.size() == TrackerMap::kTrackersPerBackend + 1);
+  BOOST_TEST(updated.back()->address == TrackerOf(7, "z0", kStart + 1s));
 }
 
 BOOST_AUTO_TEST_CASE(zone_without_gateways_is_tracked_by_others) {
@@ -133,11 +133,11 @@
   BOOST_TEST(!TrackerOf(7, "elsewhere").empty());
 }
 
-BOOST_AUTO_TEST_CASE(all_silent_or_none_known) {
+BOOST_AUTO_TEST_CASE(all_unresponsive_or_none_known) {
   BOOST_TEST(map.TrackerOf(7, ZoneId("z0"), kStart) == nullptr);
   map.SetGateways(Members(1, 1), kStart);
-  map.NoteMiss("10.0.0.0", kStart);
-  map.NoteMiss("10.0.0.0", kStart);
+  map.RecordMiss("10.0.0.0", kStart);
+  map.RecordMiss("10.0.0.0", kStart);
   BOOST_TEST(TrackerOf(7, "z0") == "10.0.0.0");
 }
 
--- a/libs/quota/include/quota/grant_ledger.h
+++ b/libs/quota/include/quota/grant_ledger.h
@@ -1,4 +1,4 @@
-// What the holder of a share has granted lately: answers to repeat, grants to take back.
+// Recent grants of a share holder, kept to answer retransmissions and to process refunds.
 
 #pragma once
 
@@ -14,39 +14,40 @@
 
 namespace ridgehold {
 
-/// Another holder's tokens within a grant.
+/// A loan from the holder of another share that is part of a grant.
 struct QuotaLoan {
-  std::string lender;  ///< address
-  QuotaRequestId id;   ///< of the request for it
+  std::string lender;  ///< address of the lending holder
+  QuotaRequestId id;   ///< of the loan request
 
   bool operator==(const QuotaLoan&) const = default;
 };
 
-/// A request that was answered.
+/// An answered request.
 struct QuotaGrant {
   QuotaSubject subject;
   QuotaReply reply;
-  QuotaTaken own;  ///< of the holder's own share
+  ConsumedTokens own;  ///< consumed from the holder's own share
   std::vector<QuotaLoan> loans;
 
   bool operator==(const QuotaGrant&) const = default;
 };
 
-/// Bounded: the oldest go first. A request that is repeated after it was forgotten is
-/// granted a second time, and a refund is lost; both only make the quota smaller.
+/// Bounded; the oldest entries are evicted first. A request retransmitted after its entry was
+/// evicted is granted a second time, and a refund is ignored. Both errors only reduce the usable
+/// quota.
 class GrantLedger {
  public:
-  /// Longer than a request waits at a gateway, which is three objectives of 0.6 s.
-  static constexpr std::chrono::seconds kRemembered{4};
-  /// Some 1,000 requests a second for as long as that.
-  static constexpr std::size_t kMostGrants = 4'096;
+  /// Longer than a request waits at a gateway, which is three latency objectives of 0.6 s.
+  static constexpr std::chrono::seconds kRetention{4};
+  /// Sized for about 1,000 requests per second over the retention period.
+  static constexpr std::size_t kMaxGrants = 4'096;
 
   void Add(const QuotaRequestId& id, QuotaGrant grant, TimePoint now);
-  /// Null when it is not known.
+  /// Returns null if the request is unknown.
   const QuotaGrant* Find(const QuotaRequestId& id) const;
-  /// Takes a grant out, so that it is given back once. Its request stays refused: one
-  /// that arrives late would else be granted, with nobody waiting for it.
-  std::optional<QuotaGrant> Withdraw(const QuotaRequestId& id, TimePoint now);
+  /// Removes and returns a grant, so that it is refunded once. The request itself stays refused: a
+  /// delayed duplicate would otherwise be granted with nobody waiting for it.
+  std::optional<QuotaGrant> Revoke(const QuotaRequestId& id, TimePoint now);
   void Clear();
 
   bool operator==(const GrantLedger&) const = default;
@@ -54,7 +55,7 @@
  private:
   struct Entry {
     QuotaRequestId id;
-    TimePoint until{};
+    TimePoint expires_at{};
 
     bool operator==(const Entry&) const = default;
   };
@@ -62,7 +63,7 @@
   void Expire(TimePoint now);
 
   std::map<QuotaRequestId, QuotaGrant> grants_;
-  std::deque<Entry> order_;
+  std::deque<Entry> expiry_queue_;
 };
 
 }  // namespace ridgehold
--- a/libs/quota/include/quota/quota_client.h
+++ b/libs/quota/include/quota/quota_client.h
@@ -1,4 +1,4 @@
-// Gets tokens for an instance's own requests from whoever holds shares of the quotas.
+// Acquires tokens for an instance's own requests from the holders of the quota shares.
 
 #pragma once
 
@@ -13,19 +13,19 @@
 
 namespace ridgehold {
 
-/// What a request needs.
+/// The tokens that a request needs.
 struct QuotaDemand {
   QuotaSubject subject;
   std::uint64_t tokens = 0;
-  QuotaTerms terms;
-  /// While no holder answers, asking goes on until then: a share changes hands in some
-  /// 100 ms. Refused at once, callers would come back before that and add to the load.
-  TimePoint patience_until{};
-  /// The same while holders may be back soon, see QuotaClient::Options::takeover.
-  TimePoint long_patience_until{};
+  QuotaLimits limits;
+  /// While no holder answers, acquisition is retried until this deadline: a share is taken over
+  /// within about 100 ms, and callers that are refused at once would retry earlier and add load.
+  TimePoint deadline{};
+  /// Replaces `deadline` during QuotaClient::Options::recovery_window.
+  TimePoint recovery_deadline{};
 };
 
-/// Tokens that were granted, to be given back if the request does not run.
+/// Granted tokens, to be refunded if the request does not run.
 struct QuotaTicket {
   QuotaRequestId id;
   std::string holder;  ///< address
@@ -33,106 +33,107 @@
   bool operator==(const QuotaTicket&) const = default;
 };
 
-/// How asking has ended.
+/// The result of an acquisition.
 struct QuotaOutcome {
-  QuotaVerdict verdict = QuotaVerdict::kNotHolder;  ///< kNotHolder: nobody has answered
+  QuotaVerdict verdict = QuotaVerdict::kNotHolder;  ///< kNotHolder: no holder answered
   QuotaTicket ticket;
   Duration retry_after{0};
-  int asked = 0;  ///< messages sent
+  int messages_sent = 0;
 
   bool operator==(const QuotaOutcome&) const = default;
 };
 
-/// Asks the holder of the own zone's share first, and the others if that one is not
-/// known or does not answer. A holder that is given up on is sent a refund, and what it
-/// grants after that is not used. When none is left, all are asked again for as long as
-/// the demand's patience lasts.
+/// Asks the holder of the own zone's share first, and the other holders if that one is unknown or
+/// does not answer. A holder that timed out is sent a refund, and its late grants are ignored. Once
+/// every holder was tried, a new round begins, until the demand's deadline.
 ///
-/// A state machine: messages and time come in, messages go out. Not thread-safe.
+/// A state machine without I/O: messages and time are passed in, messages are returned. Not
+/// thread-safe.
 class QuotaClient {
  public:
   struct Options {
-    std::uint32_t shares = 1;  ///< of a quota, one for each availability zone
-    /// An answer within a zone takes 0.2 ms and one between zones up to 6, but an
-    /// instance with an eighth of a core is at another request for some 10 ms. A
-    /// datagram may be lost: the same request is sent again.
-    std::chrono::milliseconds resend{12};
-    /// Then the next holder is asked: a capped core stands still for 90 ms, and plain
-    /// calls have an objective of 100 ms.
-    std::chrono::milliseconds give_up{36};
-    /// One that has not answered is asked last for so long.
-    std::chrono::milliseconds silence{1'000};
-    /// Until all are asked again. Less than what a share takes to change hands.
-    std::chrono::milliseconds between_rounds{25};
-    /// A holder that was killed is back within this and takes its own share. Nobody else
-    /// can have it before a lease has ended, which takes longer than callers wait.
-    std::chrono::milliseconds takeover{2'000};
-    /// Holders that were silent for less were busy, and have kept their buckets.
-    std::chrono::milliseconds least_outage{250};
+    std::uint32_t shares = 1;  ///< per quota; one for each availability zone
+    /// Retransmission interval, since datagrams may be lost. A reply takes 0.2 ms within a zone and
+    /// up to 6 ms between zones, but an instance limited to an eighth of a core may be busy with
+    /// another request for about 10 ms.
+    std::chrono::milliseconds resend_interval{12};
+    /// Time after which the next holder is asked. An instance that is throttled at its CPU limit
+    /// stops for 90 ms, and non-streaming calls have a latency objective of 100 ms.
+    std::chrono::milliseconds holder_timeout{36};
+    /// A holder that timed out is asked last for this long.
+    std::chrono::milliseconds holder_cooldown{1'000};
+    /// Delay between rounds; shorter than a takeover of a share.
+    std::chrono::milliseconds round_interval{25};
+    /// A killed holder restarts within this time and reclaims its own share. No other instance can
+    /// take the share before the lease expires, which takes longer than callers wait.
+    std::chrono::milliseconds recovery_window{2'000};
+    /// After a shorter outage the holders are assumed to have been busy, with their buckets intact.
+    std::chrono::milliseconds min_outage{250};
 
     bool operator==(const Options&) const = default;
   };
 
-  /// `incarnation` differs for each process.
+  /// `incarnation` is unique to each process.
   QuotaClient(Options options, std::uint64_t incarnation)
       : options_(options), scale_(options.shares), incarnation_(incarnation) {}
 
-  /// The holders by zone; `own` is the own zone's, empty if there is none.
+  /// Sets the holders by zone; `own` is that of the own zone, empty if there is none.
   void SetHolders(std::string own, std::vector<std::string> others);
 
-  /// Begins to ask; returns the number by which it goes on. Done may hold at once.
-  std::uint64_t Begin(const QuotaDemand& demand, TimePoint now, QuotaOutbox& outbox);
-  /// Sends again, or asks the next holder, when it is time.
-  QuotaOutbox Tick(std::uint64_t number, TimePoint now);
-  TimePoint NextTick(std::uint64_t number) const;
-  QuotaOutbox Take(const QuotaReply& reply, const std::string& from, TimePoint now);
+  /// Starts an acquisition and returns its id. TakeOutcome() may have a result at once.
+  std::uint64_t Start(const QuotaDemand& demand, TimePoint now, QuotaOutbox& outbox);
+  /// Retransmits, or asks the next holder, if that is due.
+  QuotaOutbox Tick(std::uint64_t acquisition_id, TimePoint now);
+  TimePoint NextTick(std::uint64_t acquisition_id) const;
+  QuotaOutbox Handle(const QuotaReply& reply, const std::string& from, TimePoint now);
 
-  /// The number whose request this was, so that whoever waits for it can be woken.
-  std::optional<std::uint64_t> NumberOf(const QuotaRequestId& id) const;
-  /// How it ended, taken out; nothing while it goes on.
-  std::optional<QuotaOutcome> TakeOutcome(std::uint64_t number);
+  /// Returns the acquisition that sent this request, so that its waiter can be woken.
+  std::optional<std::uint64_t> FindAcquisition(const QuotaRequestId& id) const;
+  /// Removes and returns the result; nullopt while the acquisition is in progress.
+  std::optional<QuotaOutcome> TakeOutcome(std::uint64_t acquisition_id);
 
-  /// The request of a ticket has not run and never will.
-  static QuotaOutbox GiveBack(const QuotaTicket& ticket);
+  /// Refunds the tokens of a request that has not run and will not run.
+  static QuotaOutbox Refund(const QuotaTicket& ticket);
 
   bool operator==(const QuotaClient&) const = default;
 
  private:
-  struct Asking {
+  struct Acquisition {
     QuotaRequest request;
-    TimePoint patience_until{};
-    TimePoint long_patience_until{};
-    std::vector<std::string> holders_left;  ///< the next one is the last
-    std::string holder;                     ///< empty between two rounds
-    TimePoint began{};                      ///< to ask this holder
+    TimePoint deadline{};
+    TimePoint recovery_deadline{};
+    std::vector<std::string> remaining_holders;  ///< in reverse order: the next is the last
+    std::string holder;                          ///< empty between two rounds
+    TimePoint asked_at{};                        ///< when this holder was first asked
     TimePoint next{};
-    int sent = 0;
+    int messages_sent = 0;
     std::optional<QuotaOutcome> outcome;
 
-    bool operator==(const Asking&) const = default;
+    bool operator==(const Acquisition&) const = default;
   };
 
-  void AskNext(Asking& asking, TimePoint now, QuotaOutbox& outbox);
-  /// Nobody is left to be asked in this round.
-  void EndRound(Asking& asking, TimePoint now);
-  /// Holders that are back begin with empty buckets, and what waited for them comes at
-  /// once: a refusal then does not mean that the workspace is over its quota.
-  bool MayWaitForTokens(const Asking& asking, const QuotaReply& reply, TimePoint now) const;
-  void Pause(Asking& asking, TimePoint until);
-  static void End(Asking& asking, QuotaOutcome outcome);
-  std::vector<std::string> HoldersInTurn(TimePoint now) const;
-  Asking* Find(const QuotaRequestId& id);
+  void AskNextHolder(Acquisition& acquisition, TimePoint now, QuotaOutbox& outbox);
+  /// Called when every holder was tried in this round.
+  void FinishRound(Acquisition& acquisition, TimePoint now);
+  /// Restarted holders begin with empty buckets and receive all waiting requests at once, so a
+  /// refusal shortly after an outage does not mean that the workspace exceeds its quota.
+  bool ShouldRetryForTokens(const Acquisition& acquisition, const QuotaReply& reply,
+                            TimePoint now) const;
+  void ScheduleRound(Acquisition& acquisition, TimePoint until);
+  static void Finish(Acquisition& acquisition, QuotaOutcome outcome);
+  std::vector<std::string> HoldersInOrder(TimePoint now) const;
+  Acquisition* Find(const QuotaRequestId& id);
 
   Options options_;
   QuotaScale scale_;
   std::uint64_t incarnation_;
-  std::string own_;
-  std::vector<std::string> others_;
-  std::map<std::string, TimePoint> silent_until_;  ///< by holder
-  std::optional<TimePoint> out_since_;             ///< nobody has answered a round since then
-  std::optional<TimePoint> back_since_;            ///< the first answer after that
-  std::map<std::uint64_t, Asking> asking_;
-  std::uint64_t last_number_ = 0;
+  std::string own_holder_;
+  std::vector<std::string> other_holders_;
+  std::map<std::string, TimePoint> cooldown_until_;  ///< by holder
+  std::optional<TimePoint> outage_since_;            ///< first round without a reply
+  std::optional<TimePoint> recovering_since_;        ///< first reply after an outage
+  std::map<std::uint64_t, Acquisition> acquisitions_;
+  std::uint64_t last_acquisition_ = 0;
   std::uint64_t last_request_ = 0;
 };
 
--- a/libs/quota/include/quota/quota_messages.h
+++ b/libs/quota/include/quota/quota_messages.h
@@ -1,4 +1,4 @@
-// Messages by which instances hold a quota together.
+// Messages between instances that enforce a quota together.
 
 #pragma once
 
@@ -15,8 +15,8 @@
 
 namespace ridgehold {
 
-/// Names a request for tokens. No two requests have the same: the incarnation is
-/// drawn anew by each process, which numbers its requests.
+/// Identifies a request for tokens, uniquely: each process draws a random incarnation and numbers
+/// its requests.
 struct QuotaRequestId {
   std::uint64_t incarnation = 0;
   std::uint64_t number = 0;
@@ -24,38 +24,37 @@
   auto operator<=>(const QuotaRequestId&) const = default;
 };
 
-/// Asks the holder of a share for tokens. The same may be sent again: it is
-/// granted once.
+/// Requests tokens from the holder of a share. Idempotent: a retransmission is not granted twice.
 struct QuotaRequest {
   QuotaRequestId id;
   QuotaSubject subject;
-  QuotaParts parts = 0;
-  /// From the holder of another share, which lacks so much: it takes less, too,
-  /// and the one asked borrows nothing for it.
+  QuotaAmount amount = 0;
+  /// Sent by the holder of another share that lacks this amount. Partial grants are accepted, and
+  /// the receiver does not borrow for it.
   bool is_loan = false;
-  QuotaTerms terms;  ///< as known to the one that asks
+  QuotaLimits limits;  ///< as known to the sender
 
   bool operator==(const QuotaRequest&) const = default;
 };
 
-/// What became of a request for tokens.
+/// The result of a request for tokens.
 enum class QuotaVerdict : std::uint8_t {
   kGranted,
-  kOverQuota,  ///< the workspace has used what it may
-  kTooLarge,   ///< more than the burst, so it can never be granted
-  kNotHolder,  ///< the one asked holds no share now
+  kOverQuota,  ///< the workspace has used up its quota
+  kTooLarge,   ///< exceeds the burst, so it can never be granted
+  kNotHolder,  ///< the receiver holds no share at present
 };
 
 struct QuotaReply {
   QuotaRequestId id;
   QuotaVerdict verdict = QuotaVerdict::kNotHolder;
-  QuotaParts granted = 0;   ///< of a loan, less than was asked for or even nothing
-  Duration retry_after{0};  ///< kOverQuota: when it may be granted
+  QuotaAmount granted = 0;  ///< a loan may be granted in part or not at all
+  Duration retry_after{0};  ///< with kOverQuota: when a retry may succeed
 
   bool operator==(const QuotaReply&) const = default;
 };
 
-/// What was granted was not used, or the one that asked has given up waiting.
+/// The granted tokens were not used, or the requester has stopped waiting.
 struct QuotaRefund {
   QuotaRequestId id;
 
@@ -64,10 +63,10 @@
 
 using QuotaMessage = std::variant<QuotaRequest, QuotaReply, QuotaRefund>;
 
-/// On one line, for people.
+/// Formats a message on one line for diagnostics.
 std::string ToText(const QuotaMessage& message);
 
-/// A message and the address, without a port, of the instance it goes to.
+/// A message and its destination address, without a port.
 struct QuotaOutgoing {
   std::string to;
   QuotaMessage message;
--- a/libs/quota/include/quota/request_limit.h
+++ b/libs/quota/include/quota/request_limit.h
@@ -1,4 +1,4 @@
-// A backend server's limit on requests as a quota.
+// A backend server's request rate limit, expressed as a quota.
 
 #pragma once
 
@@ -9,19 +9,22 @@
 
 namespace ridgehold {
 
-/// Tokens that a request counts, where requests are counted: rates have thousandths.
-inline constexpr std::uint64_t kTokensOfRequest = RequestRate::kThousandths;
+/// Tokens that one request costs in a request quota; rates have a resolution of 1/1000 request.
+inline constexpr std::uint64_t kQuotaTokensPerRequest = RequestRate::kThousandthsPerRequest;
 
-/// How far above its limit a backend server may be loaded, by the platform's rules.
+/// How far the platform's rules let the load of a backend server exceed its limit.
 struct LimitTolerance {
-  double overage = 0.5;  ///< part of the limit
-  double extra = 3;      ///< requests in a few seconds, beyond the first; one more is spare
-  /// How much of both is used. Refusing a request that is tolerated helps no caller; the
-  /// rest is for requests that are late on their way, and for those that nobody counts.
-  double used_part = 0.75;
+  double overage = 0.5;  ///< fraction of the limit
+  double extra_requests =
+      3;  ///< requests in a few seconds, beyond the first; one more is a reserve
+  /// Fraction of both that is used. Refusing a tolerated request helps no caller; the rest is
+  /// reserved for requests that arrive late and for those that are not counted.
+  double used_fraction = 0.75;
 };
 
-/// What instances grant together. `number` orders the words of one backend server.
-QuotaTerms TermsOf(RequestRate limit, const LimitTolerance& tolerance, std::uint64_t number);
+/// Returns what all instances together may grant. `number` is the version of the backend server's
+/// limit.
+QuotaLimits EffectiveLimits(RequestRate limit, const LimitTolerance& tolerance,
+                            std::uint64_t number);
 
 }  // namespace ridgehold
--- a/libs/quota/include/quota/request_rate.h
+++ b/libs/quota/include/quota/request_rate.h
@@ -1,4 +1,4 @@
-// Requests a second, in thousandths.
+// A request rate in thousandths of a request per second.
 
 #pragma once
 
@@ -10,28 +10,30 @@
 
 namespace ridgehold {
 
-/// How many requests a second somebody takes. Whole thousandths, so that all instances
-/// that hear of a rate have the same.
+/// A request rate with a fixed resolution of 1/1000 request per second, so that all instances that
+/// receive a rate use the same value.
 class RequestRate {
  public:
-  static constexpr std::uint32_t kThousandths = 1'000;
+  static constexpr std::uint32_t kThousandthsPerRequest = 1'000;
 
   constexpr RequestRate() = default;
-  static constexpr RequestRate OfThousandths(std::uint32_t thousandths) {
+  static constexpr RequestRate FromThousandths(std::uint32_t thousandths) {
     return RequestRate(thousandths);
   }
 
-  /// Nothing for what is no rate: negative, not finite. Beyond what fits it is the most
-  /// that does, which limits nobody.
-  static std::optional<RequestRate> Of(double per_second) {
+  /// Returns nullopt for a negative or non-finite value. Larger values than the type can represent
+  /// are clamped to its maximum, which is no effective limit.
+  static std::optional<RequestRate> FromPerSecond(double per_second) {
     if (!std::isfinite(per_second) || per_second < 0) return std::nullopt;
-    constexpr double kMost = 4'000'000'000;
-    return RequestRate(
-        static_cast<std::uint32_t>(std::min(kMost, std::floor(per_second * kThousandths))));
+    constexpr double kMaxUnits = 4'000'000'000;
+    return RequestRate(static_cast<std::uint32_t>(
+        std::min(kMaxUnits, std::floor(per_second * kThousandthsPerRequest))));
   }
 
   constexpr std::uint32_t thousandths() const { return thousandths_; }
-  constexpr double per_second() const { return static_cast<double>(thousandths_) / kThousandths; }
+  constexpr double per_second() const {
+    return static_cast<double>(thousandths_) / kThousandthsPerRequest;
+  }
 
   constexpr auto operator<=>(const RequestRate&) const = default;
 
--- a/libs/quota/include/quota/token_bucket.h
+++ b/libs/quota/include/quota/token_bucket.h
@@ -1,4 +1,4 @@
-// A token bucket that counts exactly, and holds one of several equal shares of a quota.
+// An exact token bucket for one of several equal shares of a quota.
 
 #pragma once
 
@@ -13,93 +13,93 @@
 
 namespace ridgehold {
 
-/// An amount of tokens, in parts so small that a share of any quota is a whole
+/// An amount of tokens in fixed-point units, small enough that a share of any quota is a whole
 /// number of them; see QuotaScale.
-using QuotaParts = std::int64_t;
+using QuotaAmount = std::int64_t;
 
-/// How many parts a token has: a million for each share. With `n` shares one share
-/// of `r` tokens a second is then `r` parts a microsecond, so nothing is rounded.
+/// The number of units in a token: a million for each share. With `n` shares, one share of `r`
+/// tokens per second refills at `r` units per microsecond, so nothing is rounded.
 class QuotaScale {
  public:
   explicit QuotaScale(std::uint32_t shares) : shares_(shares == 0 ? 1 : shares) {}
 
   std::uint32_t shares() const { return shares_; }
   bool operator==(const QuotaScale&) const = default;
-  QuotaParts token() const;
-  QuotaParts Of(std::uint64_t tokens) const;
+  QuotaAmount units_per_token() const;
+  QuotaAmount FromTokens(std::uint64_t tokens) const;
 
  private:
   std::uint32_t shares_;
 };
 
-/// What was taken at one time.
-struct QuotaTaken {
-  QuotaParts parts = 0;
-  std::uint64_t turn = 0;  ///< counts the takings from a bucket
+/// An amount consumed from a bucket in one call.
+struct ConsumedTokens {
+  QuotaAmount amount = 0;
+  std::uint64_t sequence = 0;  ///< numbers the calls that consume from this bucket
 
-  bool operator==(const QuotaTaken&) const = default;
+  bool operator==(const ConsumedTokens&) const = default;
 };
 
-/// Two buckets, of the bursting and of the steady rate. What one of them has may be
-/// taken, and is taken out of both, so either may be overdrawn. In a stretch of time no
-/// more is taken than the larger of `rate * t + burst`, of one share of each: at its
-/// last taking one of them was not overdrawn. Not thread-safe; time comes in as a value
-/// and only moves forward.
+/// Two buckets, for the bursting and the steady limit. An amount that either of them holds may be
+/// consumed, and is deducted from both, so one of them may be overdrawn. In any interval no more is
+/// consumed than the larger of `rate * t + burst`, for one share of either limit, since at the last
+/// consumption one of the buckets was not overdrawn. Not thread-safe; time is passed in and must
+/// not decrease.
 class TokenBucket {
  public:
-  /// Nothing is in it at `empty_at`, and whoever had the share before may have taken a
-  /// whole burst just then.
-  TokenBucket(const QuotaTerms& terms, TimePoint empty_at);
+  /// The bucket is empty at `empty_at`. The previous holder of the share is assumed to have
+  /// consumed a whole burst at that moment.
+  TokenBucket(const QuotaLimits& limits, TimePoint empty_at);
 
-  /// What is in it beyond the new burst is lost.
-  void SetTerms(const QuotaTerms& terms, TimePoint now);
+  /// Tokens beyond the new burst are discarded.
+  void SetLimits(const QuotaLimits& limits, TimePoint now);
 
-  /// What may be taken.
-  QuotaParts Level(TimePoint now);
-  /// Whether it is as one from which nothing was ever taken.
+  /// Returns the amount that can be consumed.
+  QuotaAmount Available(TimePoint now);
+  /// Returns whether the state equals that of a bucket from which nothing was ever consumed.
   bool IsFull(TimePoint now) const;
 
-  /// Takes all of `parts` or nothing.
-  std::optional<QuotaTaken> Take(QuotaParts parts, TimePoint now);
-  /// Takes what is there, at most `parts`.
-  QuotaTaken TakeUpTo(QuotaParts parts, TimePoint now);
+  /// Consumes `amount` in full, or nothing.
+  std::optional<ConsumedTokens> TryConsume(QuotaAmount amount, TimePoint now);
+  /// Consumes what is available, at most `amount`.
+  ConsumedTokens ConsumeUpTo(QuotaAmount amount, TimePoint now);
 
-  /// Puts back what was taken and not used. The bucket has then what it would have had
-  /// without that taking, and not more: with the tokens left in it, it might have been
-  /// full for a while and have lost what came in. Only since the last change of terms.
-  void PutBack(const QuotaTaken& unused, TimePoint now);
+  /// Returns an unused amount. The bucket is left as it would be without that consumption, and no
+  /// fuller: without it the bucket might have been full for a while and have lost refills. Has no
+  /// effect on amounts consumed before the last change of limits.
+  void Restore(const ConsumedTokens& unused, TimePoint now);
 
   bool operator==(const TokenBucket&) const = default;
 
  private:
   struct Levels {
-    QuotaParts bursting = 0;
-    QuotaParts steady = 0;
+    QuotaAmount bursting = 0;
+    QuotaAmount steady = 0;
 
     bool operator==(const Levels&) const = default;
   };
-  struct Taking {
-    std::uint64_t turn = 0;
+  struct Consumption {
+    std::uint64_t sequence = 0;
     TimePoint at{};
     Levels before;
-    QuotaParts parts = 0;
+    QuotaAmount amount = 0;
 
-    bool operator==(const Taking&) const = default;
+    bool operator==(const Consumption&) const = default;
   };
-  /// What was taken before these can't be put back: some 1,000 requests a second for
-  /// as long as a request may wait and still not run.
-  static constexpr std::size_t kMostTakings = 4'096;
-  static constexpr std::chrono::seconds kPutBackWithin{4};
+  /// Older consumptions cannot be restored. Sized for about 1,000 requests per second over the time
+  /// that a request may wait and still not run.
+  static constexpr std::size_t kMaxHistory = 4'096;
+  static constexpr std::chrono::seconds kRestoreWindow{4};
 
-  void Fill(TimePoint now);
-  Levels FilledFor(Levels levels, Duration time) const;
-  static void Reduce(Levels& levels, QuotaParts parts);
+  void Refill(TimePoint now);
+  Levels RefilledBy(Levels levels, Duration time) const;
+  static void Deduct(Levels& levels, QuotaAmount amount);
 
-  QuotaTerms terms_;
+  QuotaLimits limits_;
   Levels levels_;
-  TimePoint filled_at_{};
-  std::uint64_t turn_ = 0;
-  std::deque<Taking> takings_;  ///< the last ones, in their order
+  TimePoint refilled_at_{};
+  std::uint64_t last_sequence_ = 0;
+  std::deque<Consumption> history_;  ///< most recent, in order
 };
 
 }  // namespace ridgehold
--- a/libs/quota/include/quota/workspace_quota.h
+++ b/libs/quota/include/quota/workspace_quota.h
@@ -1,4 +1,4 @@
-// How much a workspace may use, as the operator's configuration says.
+// A workspace's quota as configured by the operator.
 
 #pragma once
 
@@ -8,57 +8,56 @@
 
 namespace ridgehold {
 
-/// What a quota counts.
 enum class QuotaUnit : std::uint8_t { kRequests, kTokens };
 
-/// A rate with a burst, over all instances together. Tokens stand for requests
-/// where the unit is one.
+/// A rate and a burst that apply to all instances together. Tokens stand for requests if the unit
+/// is kRequests.
 struct WorkspaceQuota {
   QuotaUnit unit = QuotaUnit::kRequests;
-  std::uint64_t rate = 0;   ///< tokens a second
-  std::uint64_t burst = 0;  ///< tokens beyond the rate, after a rest
-  /// What a request costs that does not say how many tokens it has.
-  std::uint64_t uncounted_tokens = 0;
+  std::uint64_t rate = 0;   ///< tokens per second
+  std::uint64_t burst = 0;  ///< tokens beyond the rate after an idle period
+  /// Cost of a request that does not state its token count.
+  std::uint64_t default_tokens = 0;
 
-  /// What a request costs; `tokens` are those of its prompt and the most it may
-  /// generate, none if it does not say.
+  /// Returns the cost of a request. `tokens` are those of its prompt plus the most it may generate;
+  /// nullopt if the request does not state them.
   std::uint64_t CostOf(std::optional<std::uint64_t> tokens) const {
-    return unit == QuotaUnit::kRequests ? 1 : tokens.value_or(uncounted_tokens);
+    return unit == QuotaUnit::kRequests ? 1 : tokens.value_or(default_tokens);
   }
 };
 
-/// A rate with what may go beyond it at once.
-struct QuotaRate {
+/// A rate and the burst allowed on top of it.
+struct RateLimit {
   std::uint64_t tokens_per_s = 0;
   std::uint64_t burst = 0;
 
-  bool operator==(const QuotaRate&) const = default;
+  bool operator==(const RateLimit&) const = default;
 };
 
-/// What is granted of a quota, as of one version of the configuration. Instances hear of
-/// a version at different moments; the newest that anybody has named holds.
+/// The limits in force for a quota, as of one version of the configuration. Instances learn of a
+/// version at different times; the highest version seen applies.
 ///
-/// In any window no more is granted than the larger of what both rates allow.
-struct QuotaTerms {
+/// In any window no more is granted than the larger of what both limits allow.
+struct QuotaLimits {
   std::uint64_t config_version = 0;
-  QuotaRate bursting;  ///< for a workspace that rests and comes back
-  QuotaRate steady;    ///< for one that sends as much as it may all the time
+  RateLimit bursting;  ///< for a workspace that sends bursts after idle periods
+  RateLimit steady;    ///< for a workspace with sustained traffic
 
-  bool operator==(const QuotaTerms&) const = default;
+  bool operator==(const QuotaLimits&) const = default;
 };
 
-/// How far above its quota the operator tolerates a workspace.
+/// How far the operator lets a workspace exceed its quota.
 struct QuotaTolerance {
-  std::chrono::milliseconds window{0};  ///< that the tolerance is about; 0: none
-  double overage = 0;                   ///< part of the quota
+  std::chrono::milliseconds window{0};  ///< window of the tolerance; 0: no tolerance
+  double overage = 0;                   ///< fraction of the quota
   std::uint64_t slack = 0;              ///< tokens in each window
-  /// How much of both is granted. Refusing a request that is tolerated helps nobody. The
-  /// rest is kept for requests whose beginning or end the operator counts otherwise.
-  double granted_part = 0.98;
+  /// Fraction of both that is granted. Refusing a tolerated request helps nobody; the rest is
+  /// reserved for requests whose start or end the operator counts at a different time.
+  double granted_fraction = 0.98;
 };
 
-/// What is granted of a quota.
-QuotaTerms TermsOf(const WorkspaceQuota& quota, const QuotaTolerance& tolerance,
-                   std::uint64_t config_version);
+/// Returns the limits to enforce for a quota, with the tolerance included.
+QuotaLimits EffectiveLimits(const WorkspaceQuota& quota, const QuotaTolerance& tolerance,
+                            std::uint64_t config_version);
 
 }  // namespace ridgehold
--- a/libs/quota/src/quota_messages.cc
+++ b/libs/quota/src/quota_messages.cc
@@ -18,8 +18,8 @@
 std::string ToText(const QuotaMessage& message) {
   if (const auto* request = std::get_if<QuotaRequest>(&message)) {
     return std::string(request->is_loan ? "loan " : "request ") + ToText(request->id) + " for " +
-           std::to_string(request->parts) + " by terms " +
-           std::to_string(request->terms.config_version);
+           std::to_string(request->amount) + " at config version " +
+           std::to_string(request->limits.config_version);
   }
   if (const auto* reply = std::get_if<QuotaReply>(&message)) {
     return "reply to " + ToText(reply->id) + ": " +
--- a/libs/quota/src/request_limit.cc
+++ b/libs/quota/src/request_limit.cc
@@ -5,17 +5,19 @@
 namespace ridgehold {
 namespace {
 
-// Without any request nobody would find out that a limit has ended; one in 10 s is
-// within every tolerance.
-constexpr RequestRate kLeastRate = RequestRate::OfThousandths(100);
+// Without any request no instance would learn that a limit was lifted; one in 10 s is within every
+// tolerance.
+constexpr RequestRate kMinRate = RequestRate::FromThousandths(100);
 
 }  // namespace
 
-QuotaTerms TermsOf(RequestRate limit, const LimitTolerance& tolerance, std::uint64_t number) {
-  const double more = 1 + tolerance.used_part * tolerance.overage;
-  const double rate = more * std::max(limit, kLeastRate).thousandths();
-  const double burst = kTokensOfRequest * (1 + tolerance.used_part * tolerance.extra);
-  const QuotaRate granted{static_cast<std::uint64_t>(rate), static_cast<std::uint64_t>(burst)};
+QuotaLimits EffectiveLimits(RequestRate limit, const LimitTolerance& tolerance,
+                            std::uint64_t number) {
+  const double factor = 1 + tolerance.used_fraction * tolerance.overage;
+  const double rate = factor * std::max(limit, kMinRate).thousandths();
+  const double burst =
+      kQuotaTokensPerRequest * (1 + tolerance.used_fraction * tolerance.extra_requests);
+  const RateLimit granted{static_cast<std::uint64_t>(rate), static_cast<std::uint64_t>(burst)};
   return {number, granted, granted};
 }
 
--- a/libs/quota/src/token_bucket.cc
+++ b/libs/quota/src/token_bucket.cc
@@ -6,103 +6,103 @@
 namespace ridgehold {
 namespace {
 
-// A thousand million tokens a second, or at once, are no limit to any fleet; more
-// would not fit into the arithmetic.
-constexpr std::uint64_t kMostTokens = 1'000'000'000;
-// Any bucket is full after so long, or as good as empty for ever.
-constexpr std::chrono::hours kLongestFill{1};
-constexpr QuotaParts kPartsForEachShare = 1'000'000;
-
-QuotaParts PartsEachUs(const QuotaRate& rate) {
-  return static_cast<QuotaParts>(std::min(rate.tokens_per_s, kMostTokens));
+// No fleet is limited by a rate or burst of 1e9 tokens; larger values would overflow.
+constexpr std::uint64_t kMaxTokens = 1'000'000'000;
+// After this long every bucket is full, or refills too slowly to matter.
+constexpr std::chrono::hours kMaxFillTime{1};
+constexpr QuotaAmount kUnitsPerTokenShare = 1'000'000;
+
+QuotaAmount RefillPerMicrosecond(const RateLimit& rate) {
+  return static_cast<QuotaAmount>(std::min(rate.tokens_per_s, kMaxTokens));
 }
 
-QuotaParts Most(const QuotaRate& rate) {
-  return static_cast<QuotaParts>(std::min(rate.burst, kMostTokens)) * kPartsForEachShare;
+QuotaAmount Capacity(const RateLimit& rate) {
+  return static_cast<QuotaAmount>(std::min(rate.burst, kMaxTokens)) * kUnitsPerTokenShare;
 }
 
 }  // namespace
 
-QuotaParts QuotaScale::token() const { return kPartsForEachShare * shares_; }
+QuotaAmount QuotaScale::units_per_token() const { return kUnitsPerTokenShare * shares_; }
 
-QuotaParts QuotaScale::Of(std::uint64_t tokens) const {
-  return static_cast<QuotaParts>(std::min(tokens, kMostTokens)) * token();
+QuotaAmount QuotaScale::FromTokens(std::uint64_t tokens) const {
+  return static_cast<QuotaAmount>(std::min(tokens, kMaxTokens)) * units_per_token();
 }
 
-TokenBucket::TokenBucket(const QuotaTerms& terms, TimePoint empty_at)
-    : terms_(terms), filled_at_(empty_at) {
-  levels_.steady = std::min<QuotaParts>(0, Most(terms.steady) - Most(terms.bursting));
+TokenBucket::TokenBucket(const QuotaLimits& limits, TimePoint empty_at)
+    : limits_(limits), refilled_at_(empty_at) {
+  levels_.steady = std::min<QuotaAmount>(0, Capacity(limits.steady) - Capacity(limits.bursting));
 }
 
-void TokenBucket::SetTerms(const QuotaTerms& terms, TimePoint now) {
-  Fill(now);
-  terms_ = terms;
-  levels_.bursting = std::min(levels_.bursting, Most(terms.bursting));
-  levels_.steady = std::min(levels_.steady, Most(terms.steady));
-  takings_.clear();
+void TokenBucket::SetLimits(const QuotaLimits& limits, TimePoint now) {
+  Refill(now);
+  limits_ = limits;
+  levels_.bursting = std::min(levels_.bursting, Capacity(limits.bursting));
+  levels_.steady = std::min(levels_.steady, Capacity(limits.steady));
+  history_.clear();
 }
 
-TokenBucket::Levels TokenBucket::FilledFor(Levels levels, Duration time) const {
-  const auto us = std::min<Duration>(time, kLongestFill).count();
-  levels.bursting =
-      std::min(Most(terms_.bursting), levels.bursting + PartsEachUs(terms_.bursting) * us);
-  levels.steady = std::min(Most(terms_.steady), levels.steady + PartsEachUs(terms_.steady) * us);
+TokenBucket::Levels TokenBucket::RefilledBy(Levels levels, Duration time) const {
+  const auto us = std::min<Duration>(time, kMaxFillTime).count();
+  levels.bursting = std::min(Capacity(limits_.bursting),
+                             levels.bursting + RefillPerMicrosecond(limits_.bursting) * us);
+  levels.steady =
+      std::min(Capacity(limits_.steady), levels.steady + RefillPerMicrosecond(limits_.steady) * us);
   return levels;
 }
 
-void TokenBucket::Reduce(Levels& levels, QuotaParts parts) {
-  levels.bursting -= parts;
-  levels.steady -= parts;
+void TokenBucket::Deduct(Levels& levels, QuotaAmount amount) {
+  levels.bursting -= amount;
+  levels.steady -= amount;
 }
 
-void TokenBucket::Fill(TimePoint now) {
-  if (now <= filled_at_) return;
-  levels_ = FilledFor(levels_, std::chrono::duration_cast<Duration>(now - filled_at_));
-  filled_at_ = now;
+void TokenBucket::Refill(TimePoint now) {
+  if (now <= refilled_at_) return;
+  levels_ = RefilledBy(levels_, std::chrono::duration_cast<Duration>(now - refilled_at_));
+  refilled_at_ = now;
 }
 
-QuotaParts TokenBucket::Level(TimePoint now) {
-  Fill(now);
-  return std::max({QuotaParts{0}, levels_.bursting, levels_.steady});
+QuotaAmount TokenBucket::Available(TimePoint now) {
+  Refill(now);
+  return std::max({QuotaAmount{0}, levels_.bursting, levels_.steady});
 }
 
 bool TokenBucket::IsFull(TimePoint now) const {
   const auto passed =
-      std::max(Duration::zero(), std::chrono::duration_cast<Duration>(now - filled_at_));
-  const Levels levels = FilledFor(levels_, passed);
-  return levels.bursting == Most(terms_.bursting) && levels.steady == Most(terms_.steady);
+      std::max(Duration::zero(), std::chrono::duration_cast<Duration>(now - refilled_at_));
+  const Levels levels = RefilledBy(levels_, passed);
+  return levels.bursting == Capacity(limits_.bursting) && levels.steady == Capacity(limits_.steady);
 }
 
-std::optional<QuotaTaken> TokenBucket::Take(QuotaParts parts, TimePoint now) {
-  if (parts > Level(now)) return std::nullopt;
-  return TakeUpTo(parts, now);
+std::optional<ConsumedTokens> TokenBucket::TryConsume(QuotaAmount amount, TimePoint now) {
+  if (amount > Available(now)) return std::nullopt;
+  return ConsumeUpTo(amount, now);
 }
 
-QuotaTaken TokenBucket::TakeUpTo(QuotaParts parts, TimePoint now) {
-  const QuotaParts taken = std::clamp<QuotaParts>(parts, 0, Level(now));
-  takings_.push_back({++turn_, filled_at_, levels_, taken});
-  while (takings_.size() > kMostTakings || takings_.front().at + kPutBackWithin < filled_at_) {
-    takings_.pop_front();
+ConsumedTokens TokenBucket::ConsumeUpTo(QuotaAmount amount, TimePoint now) {
+  const QuotaAmount consumed = std::clamp<QuotaAmount>(amount, 0, Available(now));
+  history_.push_back({++last_sequence_, refilled_at_, levels_, consumed});
+  while (history_.size() > kMaxHistory || history_.front().at + kRestoreWindow < refilled_at_) {
+    history_.pop_front();
   }
-  Reduce(levels_, taken);
-  return {taken, turn_};
+  Deduct(levels_, consumed);
+  return {consumed, last_sequence_};
 }
 
-void TokenBucket::PutBack(const QuotaTaken& unused, TimePoint now) {
-  Fill(now);
-  auto at = std::ranges::lower_bound(takings_, unused.turn, {}, &Taking::turn);
-  if (at == takings_.end() || at->turn != unused.turn) return;
-  at->parts = 0;
-  // Played again without it.
+void TokenBucket::Restore(const ConsumedTokens& unused, TimePoint now) {
+  Refill(now);
+  auto at = std::ranges::lower_bound(history_, unused.sequence, {}, &Consumption::sequence);
+  if (at == history_.end() || at->sequence != unused.sequence) return;
+  at->amount = 0;
+  // Replays the later consumptions without this one.
   levels_ = at->before;
   TimePoint from = at->at;
-  for (; at != takings_.end(); ++at) {
-    levels_ = FilledFor(levels_, std::chrono::duration_cast<Duration>(at->at - from));
+  for (; at != history_.end(); ++at) {
+    levels_ = RefilledBy(levels_, std::chrono::duration_cast<Duration>(at->at - from));
     from = at->at;
     at->before = levels_;
-    Reduce(levels_, at->parts);
+    Deduct(levels_, at->amount);
   }
-  levels_ = FilledFor(levels_, std::chrono::duration_cast<Duration>(filled_at_ - from));
+  levels_ = RefilledBy(levels_, std::chrono::duration_cast<Duration>(refilled_at_ - from));
 }
 
 }  // namespace ridgehold
--- a/model/fleet_model.cc
+++ b/model/fleet_model.cc
@@ -82,7 +82,8 @@
     engines_.emplace(entry.id, EngineModel(pattern_.figures));
     if (i >= pattern_.engines_limited) continue;
     Backend& backend = *state_.directory().Find(entry.id);
-    const BackendNotice notice{RequestRate::Of(pattern_.limit), false, false, std::nullopt};
+    const BackendNotice notice{RequestRate::FromPerSecond(pattern_.limit), false, false,
+                               std::nullopt};
     state_.words().Note(backend, notice, start_, start_);
     granted_.emplace(entry.id, TokenBucket(state_.words().TermsFor(backend), start_));
   }
@@ -172,10 +173,10 @@
 bool FleetModel::GetPermit(const BackendPtr& backend) {
   const auto bucket = granted_.find(backend->entry.id);
   if (bucket == granted_.end()) return true;
-  const QuotaParts needed = QuotaScale(1).Of(kTokensOfRequest);
+  const QuotaAmount needed = QuotaScale(1).FromTokens(kQuotaTokensPerRequest);
   QuotaOutcome outcome;
   outcome.verdict = QuotaVerdict::kGranted;
-  if (!bucket->second.Take(needed, now_)) {
+  if (!bucket->second.TryConsume(needed, now_)) {
     outcome.verdict = QuotaVerdict::kOverQuota;
     outcome.retry_after = kStep;
   }
--- a/model/limit_ways.cc
+++ b/model/limit_ways.cc
@@ -119,7 +119,7 @@
     double limit = play_.limit;
     if (play_.trouble == LimitTrouble::kChanges && now() >= kTroubleFrom) limit /= 2;
     if (play_.trouble == LimitTrouble::kChanges && now() >= kTroubleUntil) limit *= 4;
-    return RequestRate::Of(limit);
+    return RequestRate::FromPerSecond(limit);
   }
 
   void ScheduleTrouble() {
@@ -164,11 +164,11 @@
     const bool known = counting_.has_value();
     instance.client->SetHolders(known ? NameOfInstance(*counting_) : "", {});
     QuotaDemand demand;
-    demand.subject = SubjectOfBackend(kBackendHash);
-    demand.tokens = kTokensOfRequest;
-    demand.terms = TermsOf(*word.limit(), LimitTolerance(), word.number());
+    demand.subject = BackendSubject(kBackendHash);
+    demand.tokens = kQuotaTokensPerRequest;
+    demand.limits = EffectiveLimits(*word.limit(), LimitTolerance(), word.number());
     QuotaOutbox outbox;
-    const std::uint64_t number = instance.client->Begin(demand, now(), outbox);
+    const std::uint64_t number = instance.client->Start(demand, now(), outbox);
     instance.asking[number] = now();
     Post(i, outbox);
     Watch(i, number);
@@ -292,16 +292,16 @@
 
   void Take(std::size_t from, std::size_t to, const QuotaMessage& body) {
     Instance& instance = *instances_[to];
-    instance.holder->SetHeld(counting_ == to ? std::optional(taking_) : std::nullopt);
+    instance.holder->SetLease(counting_ == to ? std::optional(taking_) : std::nullopt);
     if (const auto* request = std::get_if<QuotaRequest>(&body)) {
-      Post(to, instance.holder->Take(*request, NameOfInstance(from), now()));
+      Post(to, instance.holder->Handle(*request, NameOfInstance(from), now()));
     } else if (const auto* refund = std::get_if<QuotaRefund>(&body)) {
-      Post(to, instance.holder->Take(*refund, now()));
+      Post(to, instance.holder->Handle(*refund, now()));
     } else {
       const auto& reply = std::get<QuotaReply>(body);
-      const auto number = instance.client->NumberOf(reply.id);
+      const auto number = instance.client->FindAcquisition(reply.id);
       if (!number) return;
-      Post(to, instance.client->Take(reply, NameOfInstance(from), now()));
+      Post(to, instance.client->Handle(reply, NameOfInstance(from), now()));
       EndAsked(to, *number);
     }
   }
@@ -350,7 +350,7 @@
   VirtualTime time_;
   std::vector<std::unique_ptr<Instance>> instances_;
   std::optional<std::size_t> counting_;  ///< who holds the zone's share
-  QuotaHolder::Taking taking_;
+  QuotaHolder::Lease taking_;
   std::uint64_t last_taking_ = 0;
   bool share_wanted_ = false;
   std::vector<Arrival> arrivals_;
--- a/model/quota_checker.cc
+++ b/model/quota_checker.cc
@@ -18,8 +18,8 @@
 
 constexpr std::chrono::milliseconds kTick{10};
 // Tokens a second and at once.
-constexpr QuotaTerms kTerms{1, {100, 2}, {150, 1}};
-constexpr QuotaTerms kLowered{2, {50, 1}, {50, 1}};
+constexpr QuotaLimits kTerms{1, {100, 2}, {150, 1}};
+constexpr QuotaLimits kLowered{2, {50, 1}, {50, 1}};
 const TimePoint kStart{std::chrono::seconds(100)};
 // Zone 0 has two instances that may hold its share, zone 1 one.
 constexpr std::array<const char*, 3> kHolders = {"a1", "a2", "b1"};
@@ -29,16 +29,16 @@
 QuotaHolder::Options HolderOptions(std::uint32_t shares) {
   QuotaHolder::Options options;
   options.shares = shares;
-  options.loan_patience = kTick;
+  options.loan_timeout = kTick;
   return options;
 }
 
 QuotaClient::Options ClientOptions(std::uint32_t shares) {
   QuotaClient::Options options;
   options.shares = shares;
-  options.resend = kTick;
-  options.give_up = 2 * kTick;
-  options.between_rounds = kTick;
+  options.resend_interval = kTick;
+  options.holder_timeout = 2 * kTick;
+  options.round_interval = kTick;
   return options;
 }
 
@@ -104,18 +104,19 @@
   std::vector<Asked> asked;
   std::vector<GivenUp> given_up;
   std::vector<Run> runs;
-  std::array<std::optional<QuotaHolder::Taking>, kHolders.size()> takings;
+  std::array<std::optional<QuotaHolder::Lease>, kHolders.size()> takings;
   std::size_t holder_of_first = 0;  ///< which of zone 0's instances has the key
   std::uint64_t last_fencing = 0;
   TimePoint now = kStart;
-  QuotaTerms terms = kTerms;
+  QuotaLimits terms = kTerms;
   CheckerBounds left;
 
   bool operator==(const State&) const = default;
 };
 
-QuotaParts AllowedIn(Duration length, const QuotaRate& rate) {
-  return static_cast<QuotaParts>(rate.tokens_per_s) * length.count() + QuotaScale(1).Of(rate.burst);
+QuotaAmount AllowedIn(Duration length, const RateLimit& rate) {
+  return static_cast<QuotaAmount>(rate.tokens_per_s) * length.count() +
+         QuotaScale(1).FromTokens(rate.burst);
 }
 
 /// What most states differ in; those that are alike in it are compared as a whole.
@@ -195,15 +196,15 @@
   /// Whether more has run of what was sent in some stretch of time than the quota allows.
   static bool Exceeds(const State& state) {
     for (const Run& first : state.runs) {
-      const QuotaTerms& terms = first.lowered ? kLowered : kTerms;
+      const QuotaLimits& terms = first.lowered ? kLowered : kTerms;
       std::uint64_t tokens = 0;
       for (const Run& run : state.runs) {
         if (run.sent >= first.sent && run.lowered >= first.lowered) tokens += run.tokens;
       }
       const auto length = std::chrono::duration_cast<Duration>(state.now - first.sent);
-      const QuotaParts allowed =
+      const QuotaAmount allowed =
           std::max(AllowedIn(length, terms.bursting), AllowedIn(length, terms.steady));
-      if (QuotaScale(1).Of(tokens) > allowed) return true;
+      if (QuotaScale(1).FromTokens(tokens) > allowed) return true;
     }
     return false;
   }
@@ -217,16 +218,16 @@
   }
 
   void Take(State& state, std::size_t holder) {
-    state.takings[holder] = QuotaHolder::Taking{++state.last_fencing, state.now};
+    state.takings[holder] = QuotaHolder::Lease{++state.last_fencing, state.now};
     Touch(state, holder);
   }
 
   /// The holder looks at its lease, as it does before each message.
   void Touch(State& state, std::size_t i) {
-    std::optional<QuotaHolder::Taking> taking = state.takings[i];
-    if (left_out_ == LeftOut::kNewTaking && taking) taking->fencing = i + 1;
+    std::optional<QuotaHolder::Lease> taking = state.takings[i];
+    if (left_out_ == LeftOut::kNewTaking && taking) taking->fencing_token = i + 1;
     if (left_out_ == LeftOut::kLeaseEnds && !taking && state.holders[i].holding()) return;
-    state.holders[i].SetHeld(taking);
+    state.holders[i].SetLease(taking);
     if (!state.HasOtherShare()) return;
     const bool first_zone = i < kFirstOfOtherZone;
     state.holders[i].SetLenders(
@@ -355,8 +356,8 @@
   void Ask(State& state, std::size_t client, std::uint64_t tokens) {
     QuotaOutbox outbox;
     QuotaDemand demand{QuotaSubject("w"), tokens, state.terms, {}, {}};
-    demand.long_patience_until = state.now + bounds_.patience * kTick;
-    const std::uint64_t number = state.clients[client].Begin(demand, state.now, outbox);
+    demand.recovery_deadline = state.now + bounds_.patience * kTick;
+    const std::uint64_t number = state.clients[client].Start(demand, state.now, outbox);
     const bool lowered = state.terms == kLowered;
     state.asked.push_back({client, number, tokens, state.now, lowered});
     Post(state, kClients[client], outbox);
@@ -371,11 +372,11 @@
       QuotaHolder& taker = state.holders[i];
       const QuotaMessage& body = message.message.message;
       if (const auto* request = std::get_if<QuotaRequest>(&body)) {
-        Post(state, *holder, taker.Take(*request, message.from, state.now));
+        Post(state, *holder, taker.Handle(*request, message.from, state.now));
       } else if (const auto* reply = std::get_if<QuotaReply>(&body)) {
-        Post(state, *holder, taker.Take(*reply, state.now));
+        Post(state, *holder, taker.Handle(*reply, state.now));
       } else {
-        Post(state, *holder, taker.Take(std::get<QuotaRefund>(body), state.now));
+        Post(state, *holder, taker.Handle(std::get<QuotaRefund>(body), state.now));
       }
       return;
     }
@@ -383,7 +384,7 @@
     const auto i = static_cast<std::size_t>(client - kClients.begin());
     const auto* reply = std::get_if<QuotaReply>(&message.message.message);
     if (reply == nullptr) return;
-    Post(state, *client, state.clients[i].Take(*reply, message.from, state.now));
+    Post(state, *client, state.clients[i].Handle(*reply, message.from, state.now));
     EndAsked(state);
   }
 
@@ -418,7 +419,7 @@
       const bool runs = asked.tokens != 1 || asked.number != 1 || asked.client != 1;
       if (runs) state.runs.push_back({asked.sent, asked.tokens, asked.lowered});
       if (!runs || left_out_ == LeftOut::kRefundUnusedOnly) {
-        Post(state, kClients[asked.client], QuotaClient::GiveBack(outcome->ticket));
+        Post(state, kClients[asked.client], QuotaClient::Refund(outcome->ticket));
       }
       return true;
     });
--- a/model/quota_ways.cc
+++ b/model/quota_ways.cc
@@ -64,11 +64,11 @@
 
 /// Tokens that an instance has leased in a batch.
 struct Batch {
-  QuotaParts left = 0;
+  QuotaAmount left = 0;
   TimePoint until{};
   bool asked = false;
   QuotaRequestId id;
-  TimePoint resend{};
+  TimePoint resend_interval{};
   double tokens_each_s = 0;  ///< demand as seen
   TimePoint last{};
 };
@@ -142,12 +142,12 @@
     used_.resize(kWorkspaces);
   }
 
-  QuotaTerms Terms(std::size_t workspace) const {
+  QuotaLimits Terms(std::size_t workspace) const {
     WorkspaceQuota quota = quotas_[workspace];
     const bool lowered =
         play_.trouble == QuotaTrouble::kLowered && workspace == kHot && now() >= kTroubleFrom;
     if (lowered) quota.rate = quota.burst = quota.rate / 2;
-    return TermsOf(quota, kTolerance, lowered ? 2 : 1);
+    return EffectiveLimits(quota, kTolerance, lowered ? 2 : 1);
   }
 
   static std::size_t ZoneOf(std::size_t instance) { return instance % kZoneCount; }
@@ -196,7 +196,7 @@
   }
 
   void Touch(std::size_t instance) {
-    std::optional<QuotaHolder::Taking> taking;
+    std::optional<QuotaHolder::Lease> taking;
     std::vector<std::string> lenders;
     for (std::uint32_t share = 0; share < shares_; ++share) {
       if (holder_of_[share] == instance) {
@@ -207,7 +207,7 @@
     }
     // Leases are not renewed while the store is away.
     const bool lapsed = Is(QuotaTrouble::kStoreAway) && now() >= kTroubleFrom + kActs;
-    holders_[instance].SetHeld(lapsed ? std::nullopt : taking);
+    holders_[instance].SetLease(lapsed ? std::nullopt : taking);
     holders_[instance].SetLenders(std::move(lenders));
   }
 
@@ -258,10 +258,10 @@
     QuotaDemand demand;
     demand.subject = QuotaSubject(std::to_string(request.workspace));
     demand.tokens = request.tokens;
-    demand.terms = Terms(request.workspace);
-    demand.patience_until = now() + kPatience;
-    demand.long_patience_until = now() + kLongPatience;
-    const std::uint64_t number = clients_[instance].Begin(demand, now(), outbox);
+    demand.limits = Terms(request.workspace);
+    demand.deadline = now() + kPatience;
+    demand.recovery_deadline = now() + kLongPatience;
+    const std::uint64_t number = clients_[instance].Start(demand, now(), outbox);
     waiting_[instance][number] = request;
     Post(instance, outbox);
     Watch(instance, number);
@@ -300,7 +300,7 @@
     const double kept = std::exp(-std::min(passed, 50.0));
     batch.tokens_each_s = batch.tokens_each_s * kept + static_cast<double>(request.tokens);
     batch.last = now();
-    const QuotaParts parts = QuotaScale(1).Of(request.tokens);
+    const QuotaAmount parts = QuotaScale(1).FromTokens(request.tokens);
     if (batch.left >= parts && now() < batch.until) {
       batch.left -= parts;
       return End(request, true);
@@ -318,7 +318,7 @@
     batch.asked = true;
     batch.id = {2'000'000 + instance, ++last_batch_};
     const QuotaRequest loan{batch.id, QuotaSubject(std::to_string(workspace)),
-                            QuotaScale(1).Of(wanted), true, Terms(workspace)};
+                            QuotaScale(1).FromTokens(wanted), true, Terms(workspace)};
     Post(instance, {{NameOfInstance(holder_of_[0]), loan}});
     const QuotaRequestId id = batch.id;
     At(now() + milliseconds(36), [this, instance, workspace, id] {
@@ -326,14 +326,14 @@
     });
   }
 
-  void EndBatch(std::size_t instance, std::size_t workspace, QuotaParts granted) {
+  void EndBatch(std::size_t instance, std::size_t workspace, QuotaAmount granted) {
     Batch& batch = batches_[instance][workspace];
     batch.asked = false;
     batch.id = {};
     batch.left = (now() < batch.until ? batch.left : 0) + granted;
     batch.until = now() + kBatchLapses;
     for (const Waiting& one : std::exchange(batch_line_[{instance, workspace}], {})) {
-      const QuotaParts parts = QuotaScale(1).Of(one.tokens);
+      const QuotaAmount parts = QuotaScale(1).FromTokens(one.tokens);
       const bool fits = parts <= batch.left;
       if (fits) batch.left -= parts;
       End(one, fits);
@@ -370,17 +370,17 @@
     const std::string sender = NameOfInstance(from);
     Touch(to);
     if (const auto* request = std::get_if<QuotaRequest>(&body)) {
-      Post(to, holders_[to].Take(*request, sender, now()));
+      Post(to, holders_[to].Handle(*request, sender, now()));
     } else if (const auto* refund = std::get_if<QuotaRefund>(&body)) {
-      Post(to, holders_[to].Take(*refund, now()));
+      Post(to, holders_[to].Handle(*refund, now()));
     } else {
       const auto& reply = std::get<QuotaReply>(body);
       if (play_.way == QuotaWay::kBatches) return TakeBatch(to, reply);
-      const auto number = clients_[to].NumberOf(reply.id);
+      const auto number = clients_[to].FindAcquisition(reply.id);
       if (!number) {
-        Post(to, holders_[to].Take(reply, now()));
+        Post(to, holders_[to].Handle(reply, now()));
       } else {
-        Post(to, clients_[to].Take(reply, sender, now()));
+        Post(to, clients_[to].Handle(reply, sender, now()));
         EndAsked(to, *number);
       }
     }
@@ -428,9 +428,9 @@
   std::uint32_t shares_;
   std::vector<QuotaHolder> holders_;
   std::vector<QuotaClient> clients_;
-  std::vector<std::size_t> holder_of_;      ///< by share
-  std::vector<QuotaHolder::Taking> taken_;  ///< by share
-  std::vector<double> parts_;               ///< of all requests, by workspace
+  std::vector<std::size_t> holder_of_;     ///< by share
+  std::vector<QuotaHolder::Lease> taken_;  ///< by share
+  std::vector<double> parts_;              ///< of all requests, by workspace
   std::vector<WorkspaceQuota> quotas_;
   std::vector<std::map<std::uint64_t, Waiting>> waiting_;  ///< by instance
   std::vector<std::vector<Batch>> batches_;                ///< by instance and workspace
--- a/model/test/load_patterns-test.cc
+++ b/model/test/load_patterns-test.cc
@@ -91,7 +91,7 @@
 // more long prompts than it can, and nearly all are late.
 BOOST_AUTO_TEST_CASE(limits_of_engines_are_used_up_by_the_largest_requests) {
   GatewayLimits limits;
-  limits.backend_limits.used_part = 0;
+  limits.backend_limits.used_fraction = 0;
   for (std::uint32_t seed = 1; seed <= 3; ++seed) {
     Pattern pattern = MostEnginesLimited();
     pattern.seed = seed;
--- a/programs/ridgehold-model.cc
+++ b/programs/ridgehold-model.cc
@@ -92,7 +92,7 @@
 void PlayOne(const std::string& name, Pattern pattern, const Options& options) {
   GatewayLimits limits;
   limits.admission = options.admission;
-  limits.backend_limits.used_part = options.tolerance.used_part;
+  limits.backend_limits.used_fraction = options.tolerance.used_fraction;
   pattern.spare_limited = options.spare_limited;
   const std::uint32_t seed = pattern.seed;
   FleetModel fleet(std::move(pattern), limits, options.placement);
@@ -119,7 +119,7 @@
                  "Fetches wait for those before them");
   app.add_option("--spare-limited", options.spare_limited,
                  "Small requests leave engines with a limit to large ones");
-  app.add_option("--limits.tolerance-part", options.tolerance.used_part,
+  app.add_option("--limits.tolerance-part", options.tolerance.used_fraction,
                  "Of what is tolerated above an engine's limit");
   app.add_flag("--limits", options.limits, "Play a server's limit instead of patterns");
   app.add_flag("--rests", options.rests, "Play servers that ask for rest instead of patterns");
--- a/test/peer_link-test.cc
+++ b/test/peer_link-test.cc
@@ -36,7 +36,7 @@
     // So long that only what is told at once can arrive within the test.
     options.period = 5s;
     options.heartbeat = 60s;
-    options.most_told = most_told;
+    options.max_broadcast_gateways = most_told;
     for (const std::string& member : {address, peer}) {
       StoreItem item;
       item.key = kMemberPrefix + member;
--- a/test/store_copy_reader-test.cc
+++ b/test/store_copy_reader-test.cc
@@ -82,12 +82,12 @@
 BOOST_AUTO_TEST_CASE(relay_that_lost_the_store_is_not_relied_on_at_once) {
   io.run_for(100ms);
   BOOST_TEST(reader->RelayIsCurrent(Clock::now()));
-  told.store_lost = true;
+  told.store_unreachable = true;
   io.run_for(450ms);
   BOOST_TEST(!reader->RelayIsCurrent(Clock::now()));
   // The next in line is tried meanwhile; there is none here, so it is asked again.
   BOOST_TEST(asked_without.size() == 1U);
-  told.store_lost = false;
+  told.store_unreachable = false;
   io.run_for(1'300ms);
   BOOST_TEST(reader->RelayIsCurrent(Clock::now()));
 }
