--- a/libs/entry/include/entry/admin_server.h
+++ b/libs/entry/include/entry/admin_server.h
@@ -1,4 +1,4 @@
-// Answers the balancer's question for readiness and serves metrics and state.
+// HTTP server for readiness checks, metrics and state.
 
 #pragma once
 
@@ -12,25 +12,24 @@
 
 namespace ridgehold {
 
-/// A page: status and text.
+/// Response to a request for one path.
 struct AdminPage {
   http::status status = http::status::ok;
   std::string content_type = "text/plain; version=0.0.4";
   std::string body;
 };
 
-/// Serves pages by path over HTTP/1.1, each made when asked for. Runs on one
-/// executor until that ends.
+/// Serves pages by path over HTTP/1.1, generated on each request. Runs on one executor until that
+/// stops.
 class AdminServer {
  public:
-  /// By path; each is given the query, without its question mark.
+  /// Page handlers by path. Each receives the query string without its question mark.
   using Pages = std::map<std::string, std::function<AdminPage(const std::string& query)>>;
 
   /// Listens on `address:port`. Fails with kInvalidSettings.
   static Result<std::unique_ptr<AdminServer>> Create(net::any_io_executor executor,
                                                      const std::string& address, Pages pages);
 
-  /// The port it listens on.
   std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
 
  private:
@@ -39,7 +38,7 @@
 
   net::awaitable<void> Accept();
   net::awaitable<void> Serve(tcp::socket socket);
-  ResponseMessage Answer(const RequestMessage& request) const;
+  ResponseMessage Respond(const RequestMessage& request) const;
 
   tcp::acceptor acceptor_;
   Pages pages_;
--- a/libs/entry/include/entry/entry_instance.h
+++ b/libs/entry/include/entry/entry_instance.h
@@ -1,4 +1,4 @@
-// A whole entry instance: caller server, state from the store, duties, readiness, shutdown.
+// An entry instance: caller server, routing state, leases, readiness and graceful shutdown.
 
 #pragma once
 
@@ -18,10 +18,10 @@
 #include "control/rollout_controller.h"
 #include "control/state_follower.h"
 #include "entry/admin_server.h"
-#include "entry/duty_turn.h"
+#include "entry/election_stagger.h"
 #include "entry/entry_settings.h"
 #include "entry/entry_tuning.h"
-#include "entry/quota_duty.h"
+#include "entry/quota_coordinator.h"
 #include "entry/state_dump.h"
 #include "gateway/backend_prober.h"
 #include "gateway/caller_server.h"
@@ -34,13 +34,14 @@
 
 namespace ridgehold {
 
-/// What an environment must bring: how it spells requests, its store, the
-/// meaning of the store's keys, and control of engines.
+/// The platform-dependent parts of an entry instance: request wire format, store, decoder of the
+/// store's items, and control of engines.
 template <class Env>
 concept Environment = WireFormat<typename Env::Wire> && StateStore<typename Env::Store> &&
     ItemDecoder<typename Env::Codec> && BackendControl<typename Env::Control>;
 
-/// Create, Start, then run the executor until `done` is called.
+/// Runs an entry instance. Call Create() and Start(), then run the executor until the `done`
+/// callback of BeginShutdown() is called.
 template <Environment Env>
 class EntryInstance {
  public:
@@ -58,8 +59,8 @@
 
   void Start() {
     net::co_spawn(executor_, follower_.Run(), net::detached);
-    net::co_spawn(executor_, member_.Run(), net::detached);
-    net::co_spawn(executor_, duty_.Run(), net::detached);
+    net::co_spawn(executor_, membership_.Run(), net::detached);
+    net::co_spawn(executor_, rollout_lease_.Run(), net::detached);
     net::co_spawn(executor_, rollout_.Run(), net::detached);
     net::co_spawn(executor_, peers_->Send(), net::detached);
     net::co_spawn(executor_, peers_->SendGossip(), net::detached);
@@ -68,38 +69,40 @@
     net::co_spawn(executor_, peers_->Receive(), net::detached);
     net::co_spawn(executor_, copy_reader_.Run(), net::detached);
     net::co_spawn(executor_, prober_.Run(), net::detached);
-    net::co_spawn(executor_, KeepHouse(), net::detached);
+    net::co_spawn(executor_, RunHousekeeping(), net::detached);
     server_.Start();
   }
 
-  /// Serves `/metrics` and `/state` on `address:port` too.
+  /// Serves metrics, state, quotas, limits and quarantine on `address:port`. Fails with
+  /// kInvalidSettings.
   Result<void> OpenMetrics(const std::string& address) {
     BOOST_LEAF_ASSIGN(metrics_server_, AdminServer::Create(executor_, address, MetricsPages()));
     return {};
   }
 
-  /// The settings of the product's own that are in force, for `/state`.
-  void ShowSettings(std::map<std::string, std::string> settings) {
-    settings_in_force_ = std::move(settings);
+  /// Sets the effective values of EntryTuning that `/state` shows.
+  void SetEffectiveSettings(std::map<std::string, std::string> settings) {
+    effective_settings_ = std::move(settings);
   }
 
-  /// Takes the bounds of settings that were read again. Addresses and names are
-  /// those of the start; that another is wanted is logged.
+  /// Applies the limits of reloaded settings. Changed addresses and names are logged and take
+  /// effect after a restart.
   void Apply(const EntrySettings& settings) {
-    const bool moved = settings.caller_address != settings_.caller_address ||
-                       settings.store_address != settings_.store_address ||
-                       settings.daemon != settings_.daemon;
-    if (moved) Log(LogLevel::kWarn, "address or name changed, in force after a restart");
-    settings_.revocation_limit = settings.revocation_limit;
+    const bool needs_restart = settings.caller_address != settings_.caller_address ||
+                               settings.store_address != settings_.store_address ||
+                               settings.daemon != settings_.daemon;
+    if (needs_restart) Log(LogLevel::kWarn, "address or daemon name changed; restart to apply");
+    settings_.max_revocation_delay = settings.max_revocation_delay;
     settings_.strict_revocation = settings.strict_revocation;
-    settings_.weights_limit = settings.weights_limit;
-    settings_.shutdown_limit = settings.shutdown_limit;
+    settings_.max_weights_staleness = settings.max_weights_staleness;
+    settings_.shutdown_timeout = settings.shutdown_timeout;
     settings_.retries = settings.retries;
     settings_.quota_tolerance = settings.quota_tolerance;
     state_.SetLimits(LimitsOf(settings_, tuning_));
   }
 
-  /// Not ready from now on; `done` is called when nothing is left to answer.
+  /// Becomes unready and drains. Calls `done` once all requests are answered or the shutdown
+  /// deadline has passed.
   void BeginShutdown(std::function<void()> done) {
     if (state_.shutting_down()) return;
     state_.BeginShutdown();
@@ -112,11 +115,11 @@
   bool Ready() const {
     if (state_.shutting_down() || !follower_.ready() || !state_.snapshot()) return false;
     if (!settings_.strict_revocation) return true;
-    const auto trust = settings_.revocation_limit * tuning_.ready_part;
-    return Clock::now() - state_.confirmed_at() < trust;
+    const auto max_age = settings_.max_revocation_delay * tuning_.ready_fraction;
+    return Clock::now() - state_.confirmed_at() < max_age;
   }
 
-  bool HoldsQuotaShare() const { return quota_.Held(Clock::now()); }
+  bool HoldsQuotaShare() const { return quota_.HoldsLease(Clock::now()); }
 
   GatewayState& state() { return state_; }
   std::uint16_t caller_port() const { return server_.port(); }
@@ -128,95 +131,97 @@
       : executor_(executor),
         settings_(std::move(settings)),
         tuning_(tuning),
-        state_(executor, settings_.zone, LimitsOf(settings_, tuning), WeightsOf(tuning), metrics_),
-        store_(executor, metrics_, settings_.store_address, tuning.store_call),
+        state_(executor, settings_.zone, LimitsOf(settings_, tuning), PlacementCostsOf(tuning),
+               metrics_),
+        store_(executor, metrics_, settings_.store_address, tuning.store_call_timeout),
         follower_(store_, state_, records_, FollowerOptions()),
-        member_(store_, executor, MemberOptions(), [] { return true; }),
-        duty_(store_, executor, DutyOptions(), [this] { return MayApplyForDuty(); }),
-        duty_turn_(tuning.duty_turn, tuning.duty_turns),
+        membership_(store_, executor, MembershipOptions(), [] { return true; }),
+        rollout_lease_(store_, executor, RolloutLeaseOptions(),
+                       [this] { return MayAcquireRolloutLease(); }),
+        election_stagger_(tuning.election_stagger, tuning.max_election_rank),
         quota_(store_, state_, records_, settings_, tuning_,
                [this] { return follower_.connected(); }),
-        control_(state_.pool(), tuning.control_call),
+        control_(state_.pool(), tuning.control_call_timeout),
         prober_(state_, tuning.probing),
-        rollout_(control_, duty_, state_, RolloutOptions()),
-        server_(state_, std::move(acceptor), MostConnections(settings_)),
+        rollout_(control_, rollout_lease_, state_, RolloutOptions()),
+        server_(state_, std::move(acceptor), MaxConnections(settings_)),
         quarantine_(store_, executor, state_.poison(), records_, {settings_.daemon}),
         copy_reader_(
             state_, follower_, CopyOptions(), [this] { return PeerAddresses(); },
-            [this](const std::set<std::string>& passed_over) { return Relay(passed_over); }),
+            [this](const std::set<std::string>& excluded) { return FindRelay(excluded); }),
         timer_(executor) {
     state_.SetEndConfirmer(
         [this](BackendPtr backend) { return prober_.Confirm(std::move(backend)); });
   }
 
   using Store = typename Env::Store;
-  using Duty = LeasedKey<Store>;
+  using Lease = LeasedKey<Store>;
   using Follower = StateFollower<Store, typename Env::Codec>;
 
   static GatewayLimits LimitsOf(const EntrySettings& settings, const EntryTuning& tuning) {
     GatewayLimits limits;
     if (settings.strict_revocation) {
-      limits.key_trust = settings.revocation_limit - tuning.key_margin;
+      limits.key_trust = settings.max_revocation_delay - tuning.key_trust_margin;
     }
-    limits.older_weights = settings.weights_limit - tuning.weights_margin;
+    limits.older_weights = settings.max_weights_staleness - tuning.weights_margin;
     limits.retries = settings.retries;
     limits.quota_tolerance = settings.quota_tolerance;
-    limits.quota_tolerance.granted_fraction = tuning.quota_tolerance_part;
-    limits.backend_limits.used_fraction = tuning.limit_tolerance_part;
+    limits.quota_tolerance.granted_fraction = tuning.quota_tolerance_fraction;
+    limits.backend_limits.used_fraction = tuning.limit_tolerance_fraction;
     limits.admission = tuning.admission;
     limits.poison = tuning.poison;
-    limits.patience_objectives = tuning.call_patience;
-    limits.stream_patience_objectives = tuning.stream_patience;
+    limits.patience_objectives = tuning.call_timeout_objectives;
+    limits.stream_patience_objectives = tuning.stream_timeout_objectives;
     return limits;
   }
 
-  static PlacementCosts WeightsOf(const EntryTuning& tuning) {
-    PlacementCosts weights = tuning.placement;
-    weights.older_weights_grace = std::chrono::milliseconds(tuning.older_weights_free_ms);
-    return weights;
+  static PlacementCosts PlacementCostsOf(const EntryTuning& tuning) {
+    PlacementCosts costs = tuning.placement;
+    costs.older_weights_grace = std::chrono::milliseconds(tuning.older_weights_grace_ms);
+    return costs;
   }
 
-  static std::size_t MostConnections(const EntrySettings& settings) {
-    // Half of the descriptors; the other half is for backend servers and files.
+  static std::size_t MaxConnections(const EntrySettings& settings) {
+    // The other half is for connections to backend servers and for files.
     return settings.max_descriptors / 2;
   }
 
-  typename Duty::Options MemberOptions() const {
-    typename Duty::Options options;
+  typename Lease::Options MembershipOptions() const {
+    typename Lease::Options options;
     options.key = kMemberPrefix + settings_.daemon.value();
     options.value = EncodeMember({settings_.instance_address, settings_.zone});
-    options.ttl = std::max(tuning_.member_ttl, settings_.least_lease_ttl);
-    options.renewals_per_ttl = tuning_.member_renewals;
+    options.ttl = std::max(tuning_.member_ttl, settings_.min_lease_ttl);
+    options.renewals_per_ttl = tuning_.member_renewals_per_ttl;
     options.exclusive = false;
     return options;
   }
 
-  typename Duty::Options DutyOptions() const {
-    typename Duty::Options options;
+  typename Lease::Options RolloutLeaseOptions() const {
+    typename Lease::Options options;
     options.key = kRolloutHolderKey;
-    // The address tells an instance from a later one of the same name.
+    // The address distinguishes this instance from a later one with the same name.
     options.value = settings_.daemon.value() + " " + settings_.instance_address;
-    options.handover_delay = settings_.holder_separation;
-    options.ttl = std::max(tuning_.duty_ttl, settings_.least_lease_ttl);
+    options.handover_delay = settings_.lease_handover_delay;
+    options.ttl = std::max(tuning_.rollout_lease_ttl, settings_.min_lease_ttl);
     return options;
   }
 
   typename RolloutController<typename Env::Control, Store>::Options RolloutOptions() const {
     typename RolloutController<typename Env::Control, Store>::Options options;
     options.self = settings_.daemon;
-    options.engines_per_load = tuning_.engines_for_each_load;
-    options.preserve_retry_budget = tuning_.spare_retries;
-    options.limit_by_measured_loads = tuning_.observe_loads;
-    options.min_drain = std::chrono::milliseconds{tuning_.shortest_drain_ms};
+    options.engines_per_load = tuning_.engines_per_load;
+    options.preserve_retry_budget = tuning_.preserve_retry_budget;
+    options.limit_by_measured_loads = tuning_.limit_by_measured_loads;
+    options.min_drain = std::chrono::milliseconds{tuning_.min_drain_ms};
     return options;
   }
 
-  /// In the order of the members' names.
-  bool MayApplyForDuty() {
-    const bool free = !state_.shutting_down() && follower_.connected() &&
-                      records_.Find(kRolloutHolderKey) == nullptr;
-    const std::size_t before = records_.MemberRank(kMemberPrefix + settings_.daemon.value());
-    return duty_turn_.MayApply(free, before, Clock::now());
+  /// Instances apply in the order of their membership keys.
+  bool MayAcquireRolloutLease() {
+    const bool vacant = !state_.shutting_down() && follower_.connected() &&
+                        records_.Find(kRolloutHolderKey) == nullptr;
+    const std::size_t rank = records_.MemberRank(kMemberPrefix + settings_.daemon.value());
+    return election_stagger_.MayCampaign(vacant, rank, Clock::now());
   }
 
   Result<void> OpenAdmin() {
@@ -236,7 +241,7 @@
     options.self = settings_.daemon;
     options.address = settings_.instance_address;
     options.port = settings_.first_peer_port;
-    options.max_broadcast_gateways = tuning_.most_told;
+    options.max_broadcast_gateways = tuning_.max_broadcast_peers;
     BOOST_LEAF_ASSIGN(
         peers_, PeerLink::Create(state_, std::move(options), records_, settings_.seed_addresses));
     const std::string address =
@@ -245,21 +250,21 @@
     return {};
   }
 
-  /// What other gateways may ask for; nothing before the store was read.
+  /// Pages for other instances, which are unavailable until the store has been read.
   AdminServer::Pages PeerPages() {
     AdminServer::Pages pages;
     pages[kStoreCopyPath] = [this](const std::string& query) { return StoreCopyPage(query); };
     return pages;
   }
 
-  /// Changes since the revision in the query, or all where they are not known.
+  /// Returns the changes since the revision in the query, or all items if these are not known.
   AdminPage StoreCopyPage(const std::string& query) const {
     if (!follower_.ready()) return {http::status::service_unavailable, "text/plain", ""};
     StoreCopy copy;
     copy.revision = follower_.revision();
     copy.age =
         std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - state_.confirmed_at());
-    // Rounded up, so that nothing looks fresher than it is.
+    // Rounded up: the copy must not look newer than it is.
     copy.age += std::chrono::milliseconds(1);
     copy.grace = std::chrono::duration_cast<std::chrono::milliseconds>(
         follower_.connectivity().RemainingGrace(Clock::now()));
@@ -279,21 +284,21 @@
   typename Follower::Options FollowerOptions() {
     typename Follower::Options options;
     options.follows_peer = [this] { return FollowsRelay(); };
-    options.watch_timeout = tuning_.watch;
-    options.relay_wait = tuning_.relay_patience;
-    options.assumed_age = std::max(settings_.weights_limit - tuning_.unknown_weights_use,
+    options.watch_timeout = tuning_.watch_timeout;
+    options.relay_wait = tuning_.relay_wait;
+    options.assumed_age = std::max(settings_.max_weights_staleness - tuning_.unknown_weights_grace,
                                    std::chrono::milliseconds(0));
     return options;
   }
 
-  /// The other instance that keeps this one current with the store.
-  std::optional<std::string> Relay(const std::set<std::string>& passed_over) const {
+  /// Returns the address of the instance from which this one follows the store.
+  std::optional<std::string> FindRelay(const std::set<std::string>& excluded) const {
     const auto relay =
-        records_.UpstreamRelay({settings_.instance_address, settings_.zone}, passed_over);
+        records_.UpstreamRelay({settings_.instance_address, settings_.zone}, excluded);
     return relay ? std::optional(relay->address) : std::nullopt;
   }
 
-  /// Whether the relay does so now; else this instance asks the store.
+  /// Returns whether the relay's copy is current. Otherwise this instance watches the store itself.
   bool FollowsRelay() const { return copy_reader_.RelayIsCurrent(Clock::now()); }
 
   typename StoreCopyReader<Follower>::Options CopyOptions() const {
@@ -305,7 +310,7 @@
   std::vector<std::string> PeerAddresses() const {
     std::vector<std::string> addresses;
     for (const Member& member : records_.Members()) addresses.push_back(member.address);
-    // Before the store was read only the seeds are known.
+    // Until the store has been read, only the seeds are known.
     if (addresses.empty()) addresses = settings_.seed_addresses;
     std::erase(addresses, settings_.instance_address);
     return addresses;
@@ -314,11 +319,11 @@
   AdminServer::Pages MetricsPages() {
     AdminServer::Pages pages;
     pages["/metrics"] = [this](const std::string& /*query*/) {
-      SetGauges();
+      UpdateGauges();
       return AdminPage{http::status::ok, "text/plain; version=0.0.4", metrics_.Print()};
     };
     pages["/quotas"] = [this](const std::string& /*query*/) {
-      const auto usages = quota_.Usages();
+      const auto usages = quota_.WorkspaceUsages();
       return AdminPage{http::status::ok, "application/json",
                        DumpQuotas(state_, quota_.HoldersByZone(), usages)};
     };
@@ -334,7 +339,7 @@
     return pages;
   }
 
-  /// Lists quarantined requests; `release=FINGERPRINT` in the query lifts one first.
+  /// Lists quarantined requests. `release=FINGERPRINT` in the query first releases that one.
   AdminPage QuarantinePage(const std::string& query) {
     const std::string prefix = "release=";
     if (query.starts_with(prefix)) {
@@ -345,7 +350,7 @@
     return {http::status::ok, "application/json", DumpQuarantine(state_.poison(), Clock::now())};
   }
 
-  void SetGauges() const {
+  void UpdateGauges() const {
     const TimePoint now = Clock::now();
     Metrics& metrics = state_.metrics();
     metrics.SetGauge("ridgehold_in_flight", "", state_.in_flight());
@@ -353,54 +358,54 @@
                      static_cast<double>(state_.poison().Quarantined(now).size()));
     metrics.SetGauge("ridgehold_suspected_requests", "",
                      static_cast<double>(state_.poison().suspects()));
-    metrics.SetGauge("ridgehold_holds_rollout", "", duty_.IsHeld(now) ? 1 : 0);
-    metrics.SetGauge("ridgehold_holds_quota_share", "", quota_.Held(now) ? 1 : 0);
+    metrics.SetGauge("ridgehold_holds_rollout", "", rollout_lease_.IsHeld(now) ? 1 : 0);
+    metrics.SetGauge("ridgehold_holds_quota_share", "", quota_.HoldsLease(now) ? 1 : 0);
     metrics.SetGauge(
         "ridgehold_engines_on_older_weights", "",
         static_cast<double>(OutdatedEngines(state_.directory(), state_.named_weights()).size()));
   }
 
   std::string Dump() const {
-    InstanceFacts facts;
-    facts.daemon = settings_.daemon;
-    facts.ready = Ready();
-    facts.holds_rollout = duty_.IsHeld(Clock::now());
-    facts.connections = server_.open_connections();
-    facts.settings = settings_in_force_;
-    return DumpState(state_, facts, Clock::now());
+    InstanceStatus status;
+    status.daemon = settings_.daemon;
+    status.ready = Ready();
+    status.holds_rollout = rollout_lease_.IsHeld(Clock::now());
+    status.connections = server_.open_connections();
+    status.settings = effective_settings_;
+    return DumpState(state_, status, Clock::now());
   }
 
-  net::awaitable<void> KeepHouse() {
+  net::awaitable<void> RunHousekeeping() {
     bool was_ready = false;
-    while (!done_) {
+    while (!stopped_) {
       const TimePoint now = Clock::now();
       state_.pool().Sweep(now);
       state_.SetHeardGateways(peers_->active_peers());
       for (const BackendId& id : state_.directory().Expire(now)) {
-        Log(LogLevel::kInfo, "backend gone", {{"backend", id.value()}});
+        Log(LogLevel::kInfo, "backend removed after its grace period", {{"backend", id.value()}});
       }
       if (const bool ready = Ready(); ready != was_ready) {
         was_ready = ready;
         LogReadiness(ready, now);
       }
-      co_await WaitFor(timer_, tuning_.housekeeping);
+      co_await WaitFor(timer_, tuning_.housekeeping_interval);
     }
   }
 
-  /// A rollout that has begun is ended first, since the next holder must wait
-  /// before it may order; and the duty is not given up with an order unsettled.
-  net::awaitable<void> HandOverDuty(TimePoint latest) {
+  /// Lets a started rollout finish first, since the next lease holder must wait before it may send
+  /// orders. Does not release the lease while the outcome of an order is unknown, until `deadline`.
+  net::awaitable<void> ReleaseRolloutLease(TimePoint deadline) {
     Timer timer(executor_);
-    const TimePoint stop_by = latest - tuning_.longest_load;
-    while (duty_.IsHeld(Clock::now()) && !rollout_.finished() && Clock::now() < stop_by) {
-      co_await WaitFor(timer, tuning_.housekeeping / 5);
+    const TimePoint stop_by = deadline - tuning_.max_load_time;
+    while (rollout_lease_.IsHeld(Clock::now()) && !rollout_.finished() && Clock::now() < stop_by) {
+      co_await WaitFor(timer, tuning_.housekeeping_interval / 5);
     }
     rollout_.Stop();
-    while (!rollout_.idle() && Clock::now() < latest) {
-      co_await WaitFor(timer, tuning_.housekeeping / 5);
+    while (!rollout_.idle() && Clock::now() < deadline) {
+      co_await WaitFor(timer, tuning_.housekeeping_interval / 5);
     }
-    co_await duty_.Release();
-    duty_handed_over_ = true;
+    co_await rollout_lease_.Release();
+    rollout_lease_released_ = true;
   }
 
   void LogReadiness(bool ready, TimePoint now) const {
@@ -412,26 +417,26 @@
   }
 
   net::awaitable<void> ShutDown(std::function<void()> done) {
-    const TimePoint begun = Clock::now();
-    const TimePoint latest = begun + settings_.shutdown_limit - tuning_.shutdown_margin;
-    state_.SetLastAnswers(latest - tuning_.last_answers);
+    const TimePoint started = Clock::now();
+    const TimePoint deadline = started + settings_.shutdown_timeout - tuning_.shutdown_margin;
+    state_.SetLastAnswers(deadline - tuning_.final_response_margin);
     Timer timer(executor_);
-    net::co_spawn(executor_, HandOverDuty(latest), net::detached);
-    co_await member_.Release();
+    net::co_spawn(executor_, ReleaseRolloutLease(deadline), net::detached);
+    co_await membership_.Release();
     co_await quota_.Release();
     co_await WaitFor(timer, std::chrono::duration_cast<std::chrono::milliseconds>(
-                                begun + tuning_.lame_duck - Clock::now()));
+                                started + tuning_.lame_duck - Clock::now()));
     server_.Stop();
     state_.RefuseNewRequests();
-    while (Clock::now() < latest) {
+    while (Clock::now() < deadline) {
       server_.CloseIdle();
       if (Clock::now() >= state_.last_answers()) server_.AnswerWaiting();
-      const bool empty = state_.in_flight() == 0 && server_.open_connections() == 0;
-      if (empty && duty_handed_over_) break;
-      co_await WaitFor(timer, tuning_.housekeeping / 5);
+      const bool drained = state_.in_flight() == 0 && server_.open_connections() == 0;
+      if (drained && rollout_lease_released_) break;
+      co_await WaitFor(timer, tuning_.housekeeping_interval / 5);
     }
     Log(LogLevel::kInfo, "stopped", {{"in_flight", std::to_string(state_.in_flight())}});
-    done_ = true;
+    stopped_ = true;
     follower_.Stop();
     peers_->Stop();
     copy_reader_.Stop();
@@ -443,16 +448,16 @@
   net::any_io_executor executor_;
   EntrySettings settings_;
   EntryTuning tuning_;
-  std::map<std::string, std::string> settings_in_force_;
+  std::map<std::string, std::string> effective_settings_;
   Metrics metrics_;
   mutable GatewayState state_;
   InstanceRecords records_;
   Store store_;
   Follower follower_;
-  Duty member_;
-  Duty duty_;
-  DutyTurn duty_turn_;
-  QuotaDuty<Store> quota_;
+  Lease membership_;
+  Lease rollout_lease_;
+  ElectionStagger election_stagger_;
+  QuotaCoordinator<Store> quota_;
   typename Env::Control control_;
   BackendProber prober_;
   RolloutController<typename Env::Control, Store> rollout_;
@@ -464,8 +469,8 @@
   StoreCopyReader<Follower> copy_reader_;
   std::unique_ptr<AdminServer> metrics_server_;
   Timer timer_;
-  bool duty_handed_over_ = false;
-  bool done_ = false;
+  bool rollout_lease_released_ = false;
+  bool stopped_ = false;
 };
 
 }  // namespace ridgehold
--- a/libs/entry/include/entry/entry_settings.h
+++ b/libs/entry/include/entry/entry_settings.h
@@ -1,4 +1,4 @@
-// What an entry instance is told when it starts.
+// Settings that the platform gives to an entry instance.
 
 #pragma once
 
@@ -19,26 +19,29 @@
   ZoneId zone;
   /// All availability zones, this one included; each holds a share of every quota.
   std::vector<ZoneId> zones;
-  std::string caller_address;         ///< `address:port` where callers connect
-  std::string ready_address;          ///< where the balancer asks for readiness
+  std::string caller_address;         ///< `address:port` of the listener for callers
+  std::string ready_address;          ///< `address:port` of the balancer's readiness check
   std::string instance_address;       ///< without a port; for metrics and peers
-  std::uint16_t first_peer_port = 0;  ///< free for messages between daemons
-  /// Some other instances, without a port; may be out of date.
+  std::uint16_t first_peer_port = 0;  ///< first port reserved for traffic between instances
+  /// Addresses of some other instances, without a port; may be out of date.
   std::vector<std::string> seed_addresses;
   std::string store_address;
-  std::chrono::milliseconds least_lease_ttl{1'000};
+  /// Shortest lease that the store grants.
+  std::chrono::milliseconds min_lease_ttl{1'000};
   std::uint32_t max_descriptors = 1'024;
-  double cpu_share = 1;  ///< of a core
+  double cpu_share = 1;  ///< in cores
 
-  /// A key may be used this long after a configuration that took it away was stored.
-  std::chrono::milliseconds revocation_limit{5'000};
+  /// An API key may be accepted this long after the configuration that removed it was stored.
+  std::chrono::milliseconds max_revocation_delay{5'000};
+  /// Whether requests are refused when the configuration has not been confirmed for that long,
+  /// since their API keys may have been revoked.
   bool strict_revocation = false;
-  /// Two holders' orders to engines must be this far apart.
-  std::chrono::milliseconds holder_separation{3'000};
-  /// Requests may begin on older weights this long after newer were named.
-  std::chrono::milliseconds weights_limit{10'000};
-  /// Time from the order to stop until the process is killed.
-  std::chrono::milliseconds shutdown_limit{8'000};
+  /// Minimum time between the orders of two successive rollout lease holders.
+  std::chrono::milliseconds lease_handover_delay{3'000};
+  /// Requests may start on older weights for this long after newer ones were announced.
+  std::chrono::milliseconds max_weights_staleness{10'000};
+  /// Time from the shutdown signal until the process is killed.
+  std::chrono::milliseconds shutdown_timeout{8'000};
   RetryBound retries;
   QuotaTolerance quota_tolerance;
 };
--- a/libs/entry/include/entry/entry_tuning.h
+++ b/libs/entry/include/entry/entry_tuning.h
@@ -1,4 +1,4 @@
-// Settings of an entry instance's own, as the product's settings file has them.
+// Settings of an entry instance that this product defines itself.
 
 #pragma once
 
@@ -12,85 +12,90 @@
 
 namespace ridgehold {
 
-/// Settings of an entry instance's own, as the product's settings file has them.
+/// Settings that do not come from the platform: those that TuningOptions reads, and fixed timings.
 struct EntryTuning {
   PlacementCosts placement;
-  /// Waiting this many latency objectives for an answer's head is enough.
-  double call_patience = 3;
-  double stream_patience = 8;
+  /// Time until a call without a response head is tried elsewhere, in latency objectives.
+  double call_timeout_objectives = 3;
+  /// The same for streams.
+  double stream_timeout_objectives = 8;
   AdmissionRule admission;
   PoisonRule poison;
   BackendProber::Options probing;
-  bool spare_retries = true;
-  bool observe_loads = true;
-  /// How long engines are emptied at least when all are busy.
-  std::uint32_t shortest_drain_ms = 300;
-  std::uint32_t older_weights_free_ms = 1'000;
-  /// One engine of so many loads weights at a time; the platform slows loads
-  /// down beyond a fifth of them.
-  std::uint32_t engines_for_each_load = 5;
+  /// Whether running requests are aborted for a weights load only while the retry budget allows.
+  bool preserve_retry_budget = true;
+  /// Whether concurrent loads are limited to as many as help, judged by measured load durations.
+  bool limit_by_measured_loads = true;
+  /// Minimum drain time of an engine, used when all engines are busy.
+  std::uint32_t min_drain_ms = 300;
+  /// Older weights cost nothing in placement for this long after newer ones were announced.
+  std::uint32_t older_weights_grace_ms = 1'000;
+  /// At most one of this many engines loads weights at a time: the platform slows loads down when
+  /// more than a fifth of the engines load.
+  std::uint32_t engines_per_load = 5;
 
-  /// Gateways that tell each other of every request; in larger fleets those that
-  /// track a backend server are told and asked.
-  std::uint32_t most_told = 32;
+  /// Up to this many gateways broadcast every request to all others. In larger fleets only the
+  /// gateways that track the backend server are notified and queried.
+  std::uint32_t max_broadcast_peers = 32;
 
   /// A call to the store takes 4 ms, and 0.4 s when the store is slow.
-  std::chrono::milliseconds store_call{1'000};
-  std::chrono::milliseconds control_call{800};
-  /// Part of the trust in keys that is not used, for messages on their way.
-  std::chrono::milliseconds key_margin{300};
-  /// Not ready without news of the configuration for this part of the trust in
-  /// keys: the balancer then takes others before requests must be refused.
-  double ready_part = 0.6;
-  std::chrono::milliseconds duty_ttl{2'000};
-  /// The next by name applies for a free duty so much later, which is more than
-  /// taking it takes; after so many turns all may, should those before be cut off.
-  std::chrono::milliseconds duty_turn{250};
-  std::size_t duty_turns = 6;
+  std::chrono::milliseconds store_call_timeout{1'000};
+  std::chrono::milliseconds control_call_timeout{800};
+  /// Subtracted from the time for which API keys may be trusted, to allow for messages in transit.
+  std::chrono::milliseconds key_trust_margin{300};
+  /// The instance becomes unready when the configuration has not been confirmed for this fraction
+  /// of the time for which API keys may be trusted, so that the balancer moves traffic away before
+  /// requests must be refused.
+  double ready_fraction = 0.6;
+  std::chrono::milliseconds rollout_lease_ttl{2'000};
+  /// Delay between one instance and the next, by name, in applying for a free lease. Longer than
+  /// acquiring the lease takes.
+  std::chrono::milliseconds election_stagger{250};
+  /// Instances from this rank on all apply at once, in case those before them are partitioned off.
+  std::size_t max_election_rank = 6;
   /// See QuotaTolerance.
-  double quota_tolerance_part = QuotaTolerance().granted_fraction;
+  double quota_tolerance_fraction = QuotaTolerance().granted_fraction;
   /// See LimitTolerance.
-  double limit_tolerance_part = LimitTolerance().used_fraction;
-  /// Holders of quotas act for 0.8 of it without the store: longer than keys are trusted
-  /// without one, so a store that is away stops nothing by itself. An instance that ends
-  /// takes a zone's share along for so long; the others are enough for workspaces that
-  /// keep to three quarters of their quotas.
-  std::chrono::milliseconds quota_ttl{8'000};
-  /// How often an instance looks whether it may take its own share back: until it has,
-  /// a fleet that starts together serves no workspace with a quota.
-  std::chrono::milliseconds quota_look{50};
-  /// Members' marks are most of the calls in a large fleet. Three renewals in 15 s
-  /// bear two that are lost; an instance that dies is counted for 10 to 15 s, which
-  /// makes the others' shares of the retries smaller by it for so long.
+  double limit_tolerance_fraction = LimitTolerance().used_fraction;
+  /// Quota lease holders act for 0.8 of this without the store. That is longer than API keys are
+  /// trusted without the store, so a store outage alone does not stop quota grants. When a holder
+  /// crashes, its zone's share is unavailable for this long; the other zones' shares suffice for
+  /// workspaces that use up to three quarters of their quotas.
+  std::chrono::milliseconds quota_lease_ttl{8'000};
+  /// Interval at which an instance checks whether it may take back the share that its previous
+  /// process held. Until then a fleet that starts all at once serves no workspace with a quota.
+  std::chrono::milliseconds quota_poll_interval{50};
+  /// Renewals of membership keys are most of the store calls in a large fleet. Three renewals in
+  /// 15 s tolerate the loss of two. An instance that crashes is still counted as a member for 10 to
+  /// 15 s, which reduces the other instances' shares of the retry budget for as long.
   std::chrono::milliseconds member_ttl{15'000};
-  int member_renewals = 3;
-  /// One gateway watches the store for all: an empty watch that is shorter than
-  /// the second that a followed copy may be old leaves time for two hops.
-  std::chrono::milliseconds watch{700};
-  /// After the first listing a relay gets so long to show itself: a fleet that
-  /// starts at once would else watch the store one by one.
-  std::chrono::milliseconds relay_patience{500};
-  std::chrono::milliseconds housekeeping{500};
-  /// The balancer asks once a second and needs two misses. Requests that come
-  /// later are refused, so that none is broken off at the end.
+  int member_renewals_per_ttl = 3;
+  /// One gateway watches the store for all others. An empty watch that is shorter than the maximum
+  /// age of a followed copy, 1 s, leaves time for two hops.
+  std::chrono::milliseconds watch_timeout{700};
+  /// Time after the first listing for a relay to become known: otherwise a fleet that starts all at
+  /// once would watch the store from every instance.
+  std::chrono::milliseconds relay_wait{500};
+  std::chrono::milliseconds housekeeping_interval{500};
+  /// The balancer checks readiness once per second and needs two failures. Requests that come
+  /// later are refused, so that none is aborted at the end of the shutdown.
   std::chrono::milliseconds lame_duck{2'600};
-  /// An engine that was ordered has loaded by then.
-  std::chrono::milliseconds longest_load{1'500};
-  /// Requests that wait so long before the end are answered then: a gateway on a
-  /// capped core stands still for up to 100 ms, the end is looked for every
-  /// 100 ms, and the answer needs a few ms to the caller.
-  std::chrono::milliseconds last_answers{300};
-  /// Left before the process is killed.
+  /// Maximum time in which an engine completes a load that it was ordered to do.
+  std::chrono::milliseconds max_load_time{1'500};
+  /// Requests that still wait this long before the end of the shutdown are answered at that point:
+  /// a gateway on a throttled core is stalled for up to 100 ms, the deadline is checked every
+  /// 100 ms, and the response takes a few ms to reach the caller.
+  std::chrono::milliseconds final_response_margin{300};
+  /// Time between the end of the shutdown and the moment when the process is killed.
   std::chrono::milliseconds shutdown_margin{700};
-  /// Requests must have begun on older weights so long before the limit: a
-  /// close takes a few ms to the engine, a gateway on a capped core stands
-  /// still for up to 100 ms, and an engine looks up after each step of 75 ms.
+  /// Requests stop starting on older weights this long before the limit: closing a connection takes
+  /// a few ms to reach the engine, a gateway on a throttled core is stalled for up to 100 ms, and
+  /// an engine checks its connections after each step of 75 ms.
   std::chrono::milliseconds weights_margin{400};
-  /// After a start, weights that were named at an unknown time let requests
-  /// begin on older ones for so long, less the margin: peers tell the time
-  /// within 0.5 s, and a rollout that is resumed brings up the first engines
-  /// within 2 s.
-  std::chrono::milliseconds unknown_weights_use{3'000};
+  /// After a start, the time at which the current weights were announced is unknown; requests may
+  /// then start on older weights for this long, less `weights_margin`. Peers provide the time
+  /// within 0.5 s, and a resumed rollout brings the first engines up to date within 2 s.
+  std::chrono::milliseconds unknown_weights_grace{3'000};
 };
 
 }  // namespace ridgehold
--- a/libs/entry/include/entry/state_dump.h
+++ b/libs/entry/include/entry/state_dump.h
@@ -1,4 +1,4 @@
-// An entry instance's whole state as JSON, for operators.
+// Formats the state of an entry instance as JSON for operators.
 
 #pragma once
 
@@ -15,25 +15,25 @@
 class GatewayState;
 class PoisonGuard;
 
-/// What the gateway's own tables do not know.
-struct InstanceFacts {
+/// Status of the instance that GatewayState does not hold.
+struct InstanceStatus {
   DaemonId daemon;
   bool ready = false;
   bool holds_rollout = false;
-  std::size_t connections = 0;                  ///< of callers
-  std::map<std::string, std::string> settings;  ///< in force, by name
+  std::size_t connections = 0;                  ///< open connections from callers
+  std::map<std::string, std::string> settings;  ///< effective values, by name
 };
 
 /// Returns the state at `now` as JSON text.
-std::string DumpState(GatewayState& state, const InstanceFacts& facts, TimePoint now);
+std::string DumpState(GatewayState& state, const InstanceStatus& status, TimePoint now);
 
-/// Returns the configured quotas, who holds the shares, and what was used of the share
+/// Returns the configured quotas, the holders of their shares by zone, and the usage of the share
 /// that this instance holds, as JSON text.
 std::string DumpQuotas(const GatewayState& state, const std::map<ZoneId, std::string>& holders,
                        std::span<const QuotaHolder::Usage> usages);
 
-/// What backend servers have asked for, as this instance knows, and what was granted of
-/// their limits here.
+/// Returns the backend notices known to this instance (rate limits, cool-downs, draining) and the
+/// grants that this instance made from backend servers' limits, as JSON text.
 std::string DumpLimits(const GatewayState& state, const std::map<ZoneId, std::string>& holders,
                        std::span<const QuotaHolder::Usage> usages, TimePoint now);
 
--- a/libs/entry/include/entry/tuning_options.h
+++ b/libs/entry/include/entry/tuning_options.h
@@ -1,4 +1,4 @@
-// An entry instance's own settings, from the command line and from an INI file.
+// Reads EntryTuning from the command line and from an INI file.
 
 #pragma once
 
@@ -17,21 +17,20 @@
 
 struct IniEntry;
 
-/// Each setting is an option `--section.key`, and the line `key = value` under
-/// `[section]` in the file. The command line goes before the file.
+/// Each setting is an option `--section.key`, and a line `key = value` under `[section]` in the
+/// file. The command line takes precedence over the file.
 class TuningOptions {
  public:
-  /// Adds the options to `app`, which fill `tuning`. Both outlive this object.
+  /// Adds options to `app` that set the fields of `tuning`. Both must outlive this object.
   static TuningOptions Create(CLI::App& app, EntryTuning& tuning);
 
-  /// Takes the settings of the file at `path`; call it after the command line
-  /// was parsed. Fails with kInvalidSettings and, in its detail, a line
-  /// `file:line: fault` for each fault: a section, key or line that is not known,
-  /// a value that does not fit, a key that is set twice, or a missing file.
+  /// Applies the settings in the file at `path`; call it after parsing the command line. Fails with
+  /// kInvalidSettings if the file is missing, or if it has an unknown section or key, a malformed
+  /// line, an invalid value or a duplicate key. The detail has a line `file:line: error` for each.
   Result<void> ReadFile(const std::string& path);
 
-  /// The value in force of each setting, by `section.key`.
-  std::map<std::string, std::string> InForce() const;
+  /// Returns the effective value of each setting, by `section.key`.
+  std::map<std::string, std::string> EffectiveValues() const;
 
  private:
   explicit TuningOptions(CLI::App& app) : app_(app) {}
@@ -40,18 +39,18 @@
   void AddLimits(EntryTuning& tuning);
   void AddRollout(EntryTuning& tuning);
 
-  /// A share of a whole, 0 to 1.
-  void AddPart(const std::string& name, double& field, const std::string& help);
-  /// A figure of 0 or more, or a switch.
+  /// Adds an option whose value is a fraction from 0 to 1.
+  void AddFraction(const std::string& name, double& field, const std::string& help);
+  /// Adds an option whose value is a non-negative number or a boolean.
   template <class Field>
   void Add(const std::string& name, Field& field, const std::string& help);
 
-  /// Returns the fault in the entry, empty if there is none.
+  /// Applies the entry. Returns an error message, or an empty string on success.
   std::string Apply(const IniEntry& entry);
 
   CLI::App& app_;
-  std::map<std::string, std::function<std::string()>> values_;  ///< by `section.key`
-  std::map<std::string, int> lines_;                            ///< where the file set them
+  std::map<std::string, std::function<std::string()>> value_getters_;  ///< by `section.key`
+  std::map<std::string, int> lines_;  ///< line of the file that set each, by `section.key`
 };
 
 }  // namespace ridgehold
--- a/libs/entry/src/admin_server.cc
+++ b/libs/entry/src/admin_server.cc
@@ -54,26 +54,26 @@
     co_await http::async_read(socket, buffer, request,
                               net::redirect_error(net::use_awaitable, error));
     if (error) break;
-    ResponseMessage answer = Answer(request);
-    http::response_serializer<http::string_body> serializer(answer);
+    ResponseMessage response = Respond(request);
+    http::response_serializer<http::string_body> serializer(response);
     co_await http::async_write(socket, serializer, net::redirect_error(net::use_awaitable, error));
-    if (!answer.keep_alive()) break;
+    if (!response.keep_alive()) break;
   }
 }
 
-ResponseMessage AdminServer::Answer(const RequestMessage& request) const {
+ResponseMessage AdminServer::Respond(const RequestMessage& request) const {
   const std::string target(request.target());
-  const std::size_t mark = target.find('?');
-  const std::string query = mark == std::string::npos ? "" : target.substr(mark + 1);
-  const auto page = pages_.find(target.substr(0, mark));
-  AdminPage made{http::status::not_found, "text/plain", "not found\n"};
-  if (page != pages_.end()) made = page->second(query);
-  ResponseMessage answer(made.status, request.version());
-  answer.set(http::field::content_type, made.content_type);
-  answer.keep_alive(request.keep_alive());
-  answer.body() = std::move(made.body);
-  answer.prepare_payload();
-  return answer;
+  const std::size_t query_begin = target.find('?');
+  const std::string query = query_begin == std::string::npos ? "" : target.substr(query_begin + 1);
+  const auto handler = pages_.find(target.substr(0, query_begin));
+  AdminPage page{http::status::not_found, "text/plain", "not found\n"};
+  if (handler != pages_.end()) page = handler->second(query);
+  ResponseMessage response(page.status, request.version());
+  response.set(http::field::content_type, page.content_type);
+  response.keep_alive(request.keep_alive());
+  response.body() = std::move(page.body);
+  response.prepare_payload();
+  return response;
 }
 
 }  // namespace ridgehold
--- a/libs/entry/test/state_dump-test.cc
+++ b/libs/entry/test/state_dump-test.cc
@@ -10,7 +10,7 @@
 
 BOOST_AUTO_TEST_SUITE(state_dump)
 
-BOOST_AUTO_TEST_CASE(settings_in_force_and_backend_servers_are_shown) {
+BOOST_AUTO_TEST_CASE(effective_settings_and_backend_servers_are_dumped) {
   net::io_context io;
   Metrics metrics;
   GatewayState state(io.get_executor(), ZoneId("a"), GatewayLimits{}, PlacementCosts{}, metrics);
@@ -18,9 +18,9 @@
   entry.id = BackendId("b");
   entry.started = StartStamp(17);
   state.directory().Put(entry);
-  InstanceFacts facts;
-  facts.settings["placement.older-weights"] = "61";
-  const auto dump = nlohmann::json::parse(DumpState(state, facts, Clock::now()));
+  InstanceStatus status;
+  status.settings["placement.older-weights"] = "61";
+  const auto dump = nlohmann::json::parse(DumpState(state, status, Clock::now()));
   BOOST_TEST(dump["settings"]["placement.older-weights"].get<std::string>() == "61");
   BOOST_TEST(dump["backends"][0]["started"].get<int>() == 17);
 }
--- a/libs/entry/test/tuning_options-test.cc
+++ b/libs/entry/test/tuning_options-test.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A settings file and the command line beside it.
+/// Writes a settings file and reads it together with a command line.
 struct Fixture {
   std::filesystem::path path = std::filesystem::temp_directory_path() /
                                ("ridgehold-tuning-" + std::to_string(::getpid()) + ".ini");
@@ -28,12 +28,12 @@
     return FailureOf([&] { return options.ReadFile(path.string()); });
   }
 
-  /// What a faulty file must say, after its own name.
-  void Refuses(const std::string& text, const std::string& fault) {
+  /// Checks that the file is rejected with `path` followed by `error`.
+  void ExpectRejected(const std::string& text, const std::string& error) {
     const auto failure = Read(text);
     BOOST_REQUIRE_MESSAGE(failure.has_value(), text);
     BOOST_TEST((failure->code == ResultCode::kInvalidSettings));
-    BOOST_TEST(failure->detail.find(path.string() + fault) != std::string::npos, failure->detail);
+    BOOST_TEST(failure->detail.find(path.string() + error) != std::string::npos, failure->detail);
   }
 };
 
@@ -41,66 +41,66 @@
 
 BOOST_FIXTURE_TEST_SUITE(tuning_options, Fixture)
 
-BOOST_AUTO_TEST_CASE(settings_of_the_file_are_in_force) {
+BOOST_AUTO_TEST_CASE(file_settings_are_applied) {
   const auto failure = Read(
       "; a comment\n[placement]\nolder-weights = 61\nobserve-speed = false\n"
       "[limits]\nstream-patience = 7.5\n[rollout]\nengines-for-each-load = 4\n");
   BOOST_REQUIRE_MESSAGE(!failure, (failure ? failure->detail : std::string()));
   BOOST_TEST(tuning.placement.older_weights == 61);
   BOOST_TEST(!tuning.placement.estimate_prefill_rate);
-  BOOST_TEST(tuning.stream_patience == 7.5);
-  BOOST_TEST(tuning.engines_for_each_load == 4U);
-  const auto in_force = options.InForce();
-  BOOST_TEST(in_force.at("placement.older-weights") == "61");
-  BOOST_TEST(in_force.at("placement.observe-speed") == "false");
-  BOOST_TEST(in_force.at("placement.per-running-request") == "0.6");
+  BOOST_TEST(tuning.stream_timeout_objectives == 7.5);
+  BOOST_TEST(tuning.engines_per_load == 4U);
+  const auto effective = options.EffectiveValues();
+  BOOST_TEST(effective.at("placement.older-weights") == "61");
+  BOOST_TEST(effective.at("placement.observe-speed") == "false");
+  BOOST_TEST(effective.at("placement.per-running-request") == "0.6");
 }
 
-BOOST_AUTO_TEST_CASE(command_line_goes_before_the_file) {
+BOOST_AUTO_TEST_CASE(command_line_takes_precedence_over_file) {
   BOOST_REQUIRE(
       !Read("[placement]\nolder-weights = 61\n", "--placement.older-weights 7").has_value());
   BOOST_TEST(tuning.placement.older_weights == 7);
 }
 
-BOOST_AUTO_TEST_CASE(unknown_section_and_key_are_named_with_their_line) {
-  Refuses("[placement]\nolder-weights = 60\n[placment]\nother-zone = 6\n", ":4: [placment]");
+BOOST_AUTO_TEST_CASE(unknown_section_is_reported_with_its_line) {
+  ExpectRejected("[placement]\nolder-weights = 60\n[placment]\nother-zone = 6\n", ":4: [placment]");
 }
 
-BOOST_AUTO_TEST_CASE(unknown_key_is_named_with_its_line) {
-  Refuses("[placement]\n\nolder-weight = 60\n", ":3: [placement] has no key older-weight");
+BOOST_AUTO_TEST_CASE(unknown_key_is_reported_with_its_line) {
+  ExpectRejected("[placement]\n\nolder-weight = 60\n", ":3: [placement] has no key older-weight");
 }
 
-BOOST_AUTO_TEST_CASE(bad_values_are_named_with_their_lines) {
+BOOST_AUTO_TEST_CASE(invalid_values_are_reported_with_their_lines) {
   const std::string text =
       "[placement]\nolder-weights = abc\nother-zone = -1\ndoubtful-part = 1.5\n"
       "[rollout]\nengines-for-each-load = 0\nspare-retries = perhaps\n";
-  for (const char* fault : {":2: older-weights", ":3: other-zone", ":4: doubtful-part",
+  for (const char* error : {":2: older-weights", ":3: other-zone", ":4: doubtful-part",
                             ":6: engines-for-each-load", ":7: spare-retries"}) {
-    Fixture().Refuses(text, fault);
+    Fixture().ExpectRejected(text, error);
   }
 }
 
-BOOST_AUTO_TEST_CASE(key_that_is_set_twice_is_refused) {
-  Refuses("[placement]\nother-zone = 5\nother-zone = 6\n", ":3: other-zone is set twice");
+BOOST_AUTO_TEST_CASE(duplicate_key_is_rejected) {
+  ExpectRejected("[placement]\nother-zone = 5\nother-zone = 6\n", ":3: other-zone is set twice");
 }
 
-BOOST_AUTO_TEST_CASE(line_that_is_no_setting_is_refused) {
-  Refuses("[placement]\nother-zone = 5\nwhat is this\n", ":3:");
+BOOST_AUTO_TEST_CASE(malformed_line_is_rejected) {
+  ExpectRejected("[placement]\nother-zone = 5\nwhat is this\n", ":3:");
 }
 
-BOOST_AUTO_TEST_CASE(missing_file_is_refused) {
+BOOST_AUTO_TEST_CASE(missing_file_is_rejected) {
   const auto failure = FailureOf([&] { return options.ReadFile("/nowhere/entry.ini"); });
   BOOST_REQUIRE(failure.has_value());
   BOOST_TEST(failure->detail.find("/nowhere/entry.ini") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(file_of_the_deployment_is_sound) {
+BOOST_AUTO_TEST_CASE(deployed_settings_file_is_valid) {
   const auto failure =
       FailureOf([&] { return options.ReadFile(RIDGEHOLD_SOURCE_DIR "/deploy/entry.ini"); });
   BOOST_REQUIRE_MESSAGE(!failure, (failure ? failure->detail : std::string()));
 }
 
-RC_BOOST_PROP(any_file_is_read_or_refused, (const std::string& text)) {
+RC_BOOST_PROP(arbitrary_file_does_not_crash_the_reader, (const std::string& text)) {
   Fixture fixture;
   fixture.Read("[placement]\n" + text);
 }
--- a/programs/ridgehold-entry.cc
+++ b/programs/ridgehold-entry.cc
@@ -1,4 +1,4 @@
-// The daemon on an entry instance of the platform.
+// ridgehold-entry: the gateway process on an entry instance of the platform.
 
 #include <CLI/CLI.hpp>
 #include <boost/asio/io_context.hpp>
@@ -21,16 +21,16 @@
 
 struct Options {
   EntryTuning tuning;
-  std::map<std::string, std::string> settings_in_force;  ///< of `tuning`, by name
+  std::map<std::string, std::string> effective_settings;  ///< values of `tuning`, by name
   std::uint16_t metrics_port = 0;
   std::string log_level = "info";
   bool check_settings = false;
 };
 
-// The platform may change the file without a signal.
-constexpr std::chrono::seconds kSettingsLook{2};
+// Polled, since the platform may change the file without sending a signal.
+constexpr std::chrono::seconds kSettingsPollInterval{2};
 
-/// Reads the settings again; faulty ones change nothing.
+/// Reloads the settings; invalid ones are logged and leave the current ones in effect.
 void Reload(Entry& entry, const char* cause) {
   ValueOr(
       [&]() -> Result<void> {
@@ -44,9 +44,9 @@
       });
 }
 
-/// Reloads when the settings file has changed.
+/// Reloads the settings whenever their file changes.
 void WatchSettings(Timer& timer, Entry& entry, platform::SettingsFileWatcher file) {
-  timer.expires_after(kSettingsLook);
+  timer.expires_after(kSettingsPollInterval);
   timer.async_wait([&timer, &entry, file](const ErrorCode& error) mutable {
     if (error) return;
     if (file.PollForChange()) Reload(entry, "file changed");
@@ -78,7 +78,7 @@
        {"callers", settings.caller_address},
        {"store", settings.store_address}});
   BOOST_LEAF_AUTO(entry, Entry::Create(io.get_executor(), std::move(settings), options.tuning));
-  entry->ShowSettings(options.settings_in_force);
+  entry->SetEffectiveSettings(options.effective_settings);
   if (options.metrics_port != 0) BOOST_LEAF_CHECK(entry->OpenMetrics(metrics_address));
   net::signal_set signals(io, SIGTERM, SIGINT, SIGHUP);
   WaitForSignals(signals, io, *entry);
@@ -95,18 +95,20 @@
 int main(int argc, char** argv) {
   ridgehold::Options options;
   std::string settings_path;
-  CLI::App app("The gateway of ridgehold on an entry instance of the platform");
-  app.add_option("--metrics-port", options.metrics_port, "Serve /metrics and /state here");
+  CLI::App app("Runs the ridgehold gateway on an entry instance of the platform");
+  app.add_option("--metrics-port", options.metrics_port,
+                 "Port for /metrics and /state; 0: not served");
   app.add_option("--log-level", options.log_level, "debug, info, warn or error");
-  app.add_flag("--check-settings", options.check_settings, "Read the settings and end");
-  app.add_option("--settings", settings_path, "INI file with the settings of the product's own");
+  app.add_flag("--check-settings", options.check_settings, "Check the settings and exit");
+  app.add_option("--settings", settings_path,
+                 "INI file with settings that do not come from the platform");
   auto tuning = ridgehold::TuningOptions::Create(app, options.tuning);
   CLI11_PARSE(app, argc, argv);
   std::signal(SIGPIPE, SIG_IGN);
   ridgehold::StartLog(options.log_level, "json", ridgehold::LogSink::kQueuedStandardOutput);
   const auto failure = ridgehold::FailureOf([&]() -> ridgehold::Result<void> {
     if (!settings_path.empty()) BOOST_LEAF_CHECK(tuning.ReadFile(settings_path));
-    options.settings_in_force = tuning.InForce();
+    options.effective_settings = tuning.EffectiveValues();
     return ridgehold::Run(options);
   });
   if (failure) ridgehold::Log(ridgehold::LogLevel::kError, "ended", {{"detail", failure->detail}});
--- a/programs/ridgehold-quota-model.cc
+++ b/programs/ridgehold-quota-model.cc
@@ -1,4 +1,4 @@
-// Plays ways of holding quotas against faults in virtual time; writes CSV.
+// Simulates strategies of quota enforcement under faults in virtual time. Writes CSV.
 
 #include <fmt/format.h>
 
@@ -12,27 +12,30 @@
 namespace ridgehold::model {
 namespace {
 
-/// The sum of one play with all seeds, as a line.
-void PlayAll(std::size_t instances, QuotaTrouble trouble, QuotaWay way, std::uint32_t seeds) {
-  QuotaPlayOutcome sum;
-  std::uint32_t over = 0;
+/// Simulates one strategy and fault with all seeds and prints the totals as one line.
+void PrintTotals(std::size_t instances, QuotaTrouble fault, QuotaWay strategy,
+                 std::uint32_t seeds) {
+  QuotaPlayOutcome total;
+  std::uint32_t seeds_over = 0;
   for (std::uint32_t seed = 1; seed <= seeds; ++seed) {
-    const QuotaPlayOutcome one = PlayQuota({way, trouble, instances, seed});
-    sum.requests += one.requests;
-    sum.within += one.within;
-    sum.within_refused += one.within_refused;
-    sum.messages += one.messages;
-    sum.asking_median_ms += one.asking_median_ms / seeds;
-    sum.asking_p99_ms = std::max(sum.asking_p99_ms, one.asking_p99_ms);
-    sum.worst_window = std::max(sum.worst_window, one.worst_window);
-    if (one.worst_window > 1) ++over;
+    const QuotaPlayOutcome outcome = PlayQuota({strategy, fault, instances, seed});
+    total.requests += outcome.requests;
+    total.within += outcome.within;
+    total.within_refused += outcome.within_refused;
+    total.messages += outcome.messages;
+    total.asking_median_ms += outcome.asking_median_ms / seeds;
+    total.asking_p99_ms = std::max(total.asking_p99_ms, outcome.asking_p99_ms);
+    total.worst_window = std::max(total.worst_window, outcome.worst_window);
+    if (outcome.worst_window > 1) ++seeds_over;
   }
-  const double refused =
-      1'000.0 * static_cast<double>(sum.within_refused) / static_cast<double>(sum.within);
-  const double messages = static_cast<double>(sum.messages) / static_cast<double>(sum.requests);
+  const double refused_per_mille =
+      1'000.0 * static_cast<double>(total.within_refused) / static_cast<double>(total.within);
+  const double messages_per_request =
+      static_cast<double>(total.messages) / static_cast<double>(total.requests);
   std::cout << fmt::format("{},{},{},{},{:.3f},{:.3f},{},{:.2f},{:.1f},{:.2f}\n", instances,
-                           NameOf(way), NameOf(trouble), sum.requests, refused, sum.worst_window,
-                           over, sum.asking_median_ms, sum.asking_p99_ms, messages);
+                           NameOf(strategy), NameOf(fault), total.requests, refused_per_mille,
+                           total.worst_window, seeds_over, total.asking_median_ms,
+                           total.asking_p99_ms, messages_per_request);
 }
 
 }  // namespace
@@ -41,21 +44,22 @@
 int main(int argc, char** argv) {
   using ridgehold::model::AllQuotaTroubles;
   using ridgehold::model::AllQuotaWays;
-  using ridgehold::model::PlayAll;
+  using ridgehold::model::PrintTotals;
   using ridgehold::model::QuotaTrouble;
   using ridgehold::model::QuotaWay;
   std::vector<std::size_t> instances = {90};
   std::uint32_t seeds = 1;
-  CLI::App app("Plays ways of holding quotas against faults in virtual time");
-  app.add_option("--instances", instances, "Sizes of the fleet")->capture_default_str();
-  app.add_option("--seeds", seeds, "Seeds of each play")->check(CLI::Range(1, 1'000));
+  CLI::App app("Simulates strategies of quota enforcement under faults in virtual time");
+  app.add_option("--instances", instances, "Fleet sizes")->capture_default_str();
+  app.add_option("--seeds", seeds, "Number of seeds for each simulation")
+      ->check(CLI::Range(1, 1'000));
   CLI11_PARSE(app, argc, argv);
   std::cout << "instances,way,trouble,requests,within_refused_per_mille,worst_window,"
                "worst_windows_over,asking_median_ms,asking_p99_ms,messages_a_request\n";
   for (const std::size_t count : instances) {
-    for (const QuotaTrouble trouble : AllQuotaTroubles()) {
-      for (const QuotaWay way : AllQuotaWays()) {
-        PlayAll(count, trouble, way, seeds);
+    for (const QuotaTrouble fault : AllQuotaTroubles()) {
+      for (const QuotaWay strategy : AllQuotaWays()) {
+        PrintTotals(count, fault, strategy, seeds);
         std::cout.flush();
       }
     }
--- a/programs/ridgehold.cc
+++ b/programs/ridgehold.cc
@@ -1,4 +1,4 @@
-// ridgehold: the operators' command-line tool.
+// ridgehold: command-line tool for operators.
 
 #include <CLI/CLI.hpp>
 #include <algorithm>
@@ -26,13 +26,13 @@
 constexpr int kHttpOk = 200;
 constexpr std::chrono::seconds kTimeout{15};
 
-/// Exit codes, also in docs/OPERATIONS.md.
+/// Exit codes, documented in docs/OPERATIONS.md.
 enum ExitCode : int {
   kDone = 0,
-  kUsage = 2,       // the command cannot be read
-  kRefused = 3,     // refused; nothing has changed
-  kUnresolved = 4,  // not known yet whether the change took hold
-  kNoAnswer = 5,    // the daemon does not answer
+  kUsage = 2,       // the command is malformed
+  kRejected = 3,    // rejected; nothing was changed
+  kUnresolved = 4,  // whether the change took effect is not known yet
+  kNoResponse = 5,  // no valid response from the daemon
 };
 
 struct Options {
@@ -42,7 +42,7 @@
   bool as_json = false;
 };
 
-/// Puts a word that the shell has unquoted back into the language's quotes.
+/// Quotes a word for the operator language if necessary, since the shell removed its quotes.
 std::string Quote(const std::string& word) {
   if (!word.empty() && word.find_first_of(" \t\n\";#\\") == std::string::npos) return word;
   std::string quoted = "\"";
@@ -54,7 +54,7 @@
 }
 
 std::string Join(const std::vector<std::string>& words) {
-  // One argument is a whole statement; several are its words.
+  // A single argument is a complete statement; several are the words of one.
   if (words.size() == 1) return words.front();
   std::string text;
   for (const std::string& word : words) text += (text.empty() ? "" : " ") + Quote(word);
@@ -85,16 +85,16 @@
     case ResultCode::kUnresolvedChange:
       return kUnresolved;
     default:
-      return kRefused;
+      return kRejected;
   }
 }
 
-int PrintError(const HttpAnswer& answer, bool as_json) {
-  if (as_json) std::cout << answer.body << "\n";
-  const json body = json::parse(answer.body, nullptr, false);
+int PrintError(const HttpAnswer& response, bool as_json) {
+  if (as_json) std::cout << response.body << "\n";
+  const json body = json::parse(response.body, nullptr, false);
   if (!body.is_object() || !body.contains("error")) {
-    std::cerr << "status " << answer.status << "\n";
-    return kNoAnswer;
+    std::cerr << "unexpected HTTP status " << response.status << "\n";
+    return kNoResponse;
   }
   const json& error = body["error"];
   const int code = error.value("ridgehold_code", 0);
@@ -114,25 +114,25 @@
         call.total_timeout = kTimeout;
         call.headers.Add("X-Ridgehold-Author", options.author);
         if (!options.key.empty()) call.headers.Add("Authorization", "Bearer " + options.key);
-        BOOST_LEAF_AUTO(answer, client->Fetch(std::move(call)));
-        if (answer.status != kHttpOk) return PrintError(answer, options.as_json);
+        BOOST_LEAF_AUTO(response, client->Fetch(std::move(call)));
+        if (response.status != kHttpOk) return PrintError(response, options.as_json);
         if (options.as_json || !is_table) {
-          std::cout << answer.body << "\n";
+          std::cout << response.body << "\n";
         } else {
-          PrintTable(json::parse(answer.body));
+          PrintTable(json::parse(response.body));
         }
         return kDone;
       },
       [](const Failure& failure) {
         std::cerr << failure.detail << "\n";
-        return static_cast<int>(kNoAnswer);
+        return static_cast<int>(kNoResponse);
       });
 }
 
 int Apply(const Options& options, const std::string& path, bool dry_run) {
   std::ifstream file(path);
   if (!file) {
-    std::cerr << path << ": cannot be opened\n";
+    std::cerr << path << ": cannot open file\n";
     return kUsage;
   }
   std::ostringstream script;
@@ -152,26 +152,26 @@
   Options options;
   options.url = FromEnvironment("RIDGEHOLD_URL", options.url);
   options.key = FromEnvironment("RIDGEHOLD_KEY", "");
-  CLI::App app("ridgehold asks and changes what ridgehold daemons have in force");
+  CLI::App app("ridgehold shows and changes the configuration and state of ridgehold daemons");
   app.footer(
-      "A statement of the operator language may stand in place of a subcommand:\n"
+      "Instead of a subcommand, a statement of the operator language can be given:\n"
       "  ridgehold show revision\n"
       "  ridgehold at revision 7 change workspace clinics share 4\n"
       "  ridgehold drain backend gpu-3\n"
-      "docs/OPERATIONS.md lists them all. Exit codes: 0 done, 2 unreadable command,\n"
-      "3 refused and nothing changed, 4 unresolved, 5 no answer.");
-  app.add_option("--url", options.url, "operator listener of any daemon (RIDGEHOLD_URL)");
-  app.add_option("--key", options.key, "operators' key (RIDGEHOLD_KEY)");
-  app.add_option("--author", options.author, "name shown with a change");
-  app.add_flag("--json", options.as_json, "answer in JSON");
+      "docs/OPERATIONS.md lists all statements. Exit codes: 0 done, 2 malformed command,\n"
+      "3 rejected and nothing changed, 4 outcome unknown, 5 no response.");
+  app.add_option("--url", options.url, "URL of any daemon's operator listener (RIDGEHOLD_URL)");
+  app.add_option("--key", options.key, "operator key (RIDGEHOLD_KEY)");
+  app.add_option("--author", options.author, "author recorded with a change");
+  app.add_flag("--json", options.as_json, "print the response as JSON");
   app.prefix_command();
 
   std::string file;
   bool dry_run = false;
-  CLI::App* apply = app.add_subcommand("apply", "make a file's changes as one");
-  apply->add_option("file", file, "statements, one a line")->required();
-  apply->add_flag("--dry-run", dry_run, "only check them");
-  CLI::App* dump = app.add_subcommand("dump", "print the daemon's whole state as JSON");
+  CLI::App* apply = app.add_subcommand("apply", "apply the statements of a file as one change");
+  apply->add_option("file", file, "file with one statement per line")->required();
+  apply->add_flag("--dry-run", dry_run, "check the statements without applying them");
+  CLI::App* dump = app.add_subcommand("dump", "print the daemon's complete state as JSON");
   CLI11_PARSE(app, argc, argv);
 
   if (apply->parsed()) return Apply(options, file, dry_run);
--- a/programs/ridgeholdd.cc
+++ b/programs/ridgeholdd.cc
@@ -1,4 +1,4 @@
-// ridgeholdd: the daemon on an entry instance.
+// ridgeholdd: the daemon process of an entry instance.
 
 #include <CLI/CLI.hpp>
 #include <atomic>
@@ -21,25 +21,25 @@
 using ridgehold::Result;
 using ridgehold::Settings;
 
-constexpr int kExitBadSettings = 2;
-constexpr int kExitCutOff = 3;
-constexpr std::chrono::milliseconds kSignalPoll{20};
+constexpr int kExitInvalidSettings = 2;
+constexpr int kExitShutdownTimeout = 3;
+constexpr std::chrono::milliseconds kPollInterval{20};
 
 std::atomic<bool> stop_requested{false};
 
 extern "C" void OnStopSignal(int /*signal*/) { stop_requested.store(true); }
 
-/// Serves until a signal comes, then drains. Returns the exit code.
+/// Serves until SIGTERM or SIGINT, then drains. Returns the exit code.
 int Serve(Daemon& daemon, const Settings& settings) {
-  while (!stop_requested.load()) std::this_thread::sleep_for(kSignalPoll);
+  while (!stop_requested.load()) std::this_thread::sleep_for(kPollInterval);
   daemon.BeginShutdown();
-  const auto limit = ridgehold::Clock::now() + settings.lame_duck + settings.shutdown_limit;
+  const auto deadline = ridgehold::Clock::now() + settings.lame_duck + settings.shutdown_limit;
   while (!daemon.Drained()) {
-    if (ridgehold::Clock::now() >= limit) {
-      Log(LogLevel::kError, "shutdown limit reached with requests in flight");
-      return kExitCutOff;
+    if (ridgehold::Clock::now() >= deadline) {
+      Log(LogLevel::kError, "shutdown timed out with requests still in flight");
+      return kExitShutdownTimeout;
     }
-    std::this_thread::sleep_for(kSignalPoll);
+    std::this_thread::sleep_for(kPollInterval);
   }
   Log(LogLevel::kInfo, "stopped");
   return 0;
@@ -52,7 +52,7 @@
   std::string path;
   bool check_only = false;
   app.add_option("settings", path, "settings file (INI)")->required();
-  app.add_flag("--check-settings", check_only, "only check the settings");
+  app.add_flag("--check-settings", check_only, "check the settings and exit");
   CLI11_PARSE(app, argc, argv);
 
   std::signal(SIGTERM, &OnStopSignal);
@@ -62,7 +62,7 @@
       [&]() -> Result<int> {
         BOOST_LEAF_AUTO(settings, ridgehold::LoadSettings(path));
         if (check_only) {
-          std::cout << path << ": settings are fine\n";
+          std::cout << path << ": settings are valid\n";
           return 0;
         }
         ridgehold::StartLog(settings.log_level, settings.log_layout);
@@ -71,6 +71,6 @@
       },
       [](const Failure& failure) {
         std::cerr << failure.detail << "\n";
-        return kExitBadSettings;
+        return kExitInvalidSettings;
       });
 }
