--- a/libs/control/include/control/state_follower.h
+++ b/libs/control/include/control/state_follower.h
@@ -208,8 +208,9 @@
     RecordSuccess();
     const TimePoint now = Clock::now();
     ApplyEvents(answer->events, answer->revision);
-    // An empty watch that lasted its full time saw no change up to its end. If the answer comes
-    // later than that, only the time of the request is certain.
+    // An empty watch that lasted its full time proves that there was no change up to its end. If
+    // the answer comes later than that, it only proves that the copy was current when the watch was
+    // sent.
     const auto excess = now - start - wait;
     const bool ran_full_length =
         answer->events.empty() && excess >= Duration::zero() && excess <= kMaxAnswerDelay;
--- a/libs/gateway/include/gateway/backend_directory.h
+++ b/libs/gateway/include/gateway/backend_directory.h
@@ -48,7 +48,7 @@
 struct Backend {
   BackendEntry entry;
   std::map<ModelId, WeightsNumber> weights;  ///< highest version reported by any source
-  std::optional<TimePoint> grace_until;      ///< set: its registration lapsed; it is removed then
+  std::optional<TimePoint> grace_until;      ///< registration lapsed; removed at this time
   bool removed = false;
   bool reachable = true;     ///< as of the last probe
   bool needs_probe = false;  ///< an attempt failed here, or a peer cannot reach it
--- a/libs/gateway/include/gateway/exchange.h
+++ b/libs/gateway/include/gateway/exchange.h
@@ -460,7 +460,7 @@
         co_await RefuseWith(NotRunCode(last_code_, facts_), search_.RetryAfter());
         break;
       case NextStep::kFail:
-        co_await RefuseWith(FailedCode(last_code_), kDefaultRetryAfter);
+        co_await RefuseWith(MayHaveRunCode(last_code_), kDefaultRetryAfter);
         break;
       case NextStep::kBreakOff:
         record_.code =
--- a/libs/gateway/include/gateway/exchange_plan.h
+++ b/libs/gateway/include/gateway/exchange_plan.h
@@ -147,7 +147,7 @@
 ResultCode NotRunCode(ResultCode last, const AttemptFacts& facts);
 
 /// The result code of a request that may have run.
-ResultCode FailedCode(ResultCode last);
+ResultCode MayHaveRunCode(ResultCode last);
 
 /// The result code for a quota verdict that refuses the request; nothing if it may proceed.
 std::optional<ResultCode> QuotaRefusalCode(QuotaVerdict verdict);
--- a/libs/gateway/src/exchange_plan.cc
+++ b/libs/gateway/src/exchange_plan.cc
@@ -267,7 +267,8 @@
       const double token_ms = LinkMsPerToken(plan, store->link_mbps);
       query.store = KvStoreView{store->zone, link, token_ms, &state.KeptAt(link)};
     }
-    // With load queries, few gateways hear of a first part, so their segments would differ.
+    // When loads are queried, only a few gateways know of a first part, so the gateways would
+    // compute different segments.
     if (!plan.chain->parts.empty() && answers == nullptr) {
       query.segment = state.prefix_shares().SegmentOf(plan.chain->parts.front().hash);
     }
@@ -375,7 +376,8 @@
 
 void ApplyAnswerHead(GatewayState& state, Backend& backend, const InboundRequest& request,
                      const AnswerHead& head, TimePoint sent) {
-  // A misdirected request was answered by another incarnation, whose notice is about itself.
+  // A request is misdirected if another incarnation has answered it. The notice is then about that
+  // incarnation and not about this one.
   if (head.status != kMisdirected) state.words().Note(backend, head.notice, sent, Clock::now());
   if (!request.generation || !head.weights) return;
   state.NoteWeights(backend, request.generation->model, *head.weights);
@@ -411,7 +413,7 @@
   return Describe(last).execution == Execution::kNotRun ? last : ResultCode::kNoBackend;
 }
 
-ResultCode FailedCode(ResultCode last) {
+ResultCode MayHaveRunCode(ResultCode last) {
   return Describe(last).execution == Execution::kNotRun ? ResultCode::kBackendBroken : last;
 }
 
--- a/libs/gateway/src/placement.cc
+++ b/libs/gateway/src/placement.cc
@@ -38,14 +38,14 @@
   Placement Choose() const {
     Placement best;
     best.cost = std::numeric_limits<double>::max();
-    std::uint64_t best_tie = 0;
+    std::uint64_t best_tie_hash = 0;
     for (std::size_t i = 0; i < candidates_.size(); ++i) {
       Placement placement = Evaluate(i);
-      const std::uint64_t tie = Hash(query_.tie_break, id_hashes_[i]);
+      const std::uint64_t tie_hash = Hash(query_.tie_break, id_hashes_[i]);
       if (placement.cost > best.cost) continue;
-      if (placement.cost == best.cost && tie <= best_tie) continue;
+      if (placement.cost == best.cost && tie_hash <= best_tie_hash) continue;
       best = placement;
-      best_tie = tie;
+      best_tie_hash = tie_hash;
     }
     return best;
   }
@@ -312,9 +312,10 @@
   /// apply when only a few of many candidates are polled (HomesOf): the first engines to load new
   /// weights would become the home of all prompts.
   bool RanksBefore(std::size_t a, std::size_t b) const {
-    const WeightsNumber of_a = WeightsOf(*candidates_[a]);
-    const WeightsNumber of_b = WeightsOf(*candidates_[b]);
-    if (query_.answers == nullptr && of_a != of_b) return of_a > of_b;
+    const WeightsNumber weights_of_a = WeightsOf(*candidates_[a]);
+    const WeightsNumber weights_of_b = WeightsOf(*candidates_[b]);
+    if (query_.answers == nullptr && weights_of_a != weights_of_b)
+      return weights_of_a > weights_of_b;
     if (cache_estimates_[a].in_segment != cache_estimates_[b].in_segment)
       return cache_estimates_[a].in_segment;
     return cache_estimates_[a].rank > cache_estimates_[b].rank;
@@ -325,9 +326,9 @@
     const auto match = MatchOn(backend);
     estimate.known_tokens = match.tokens;
     estimate.fetchable_tokens = match.prefilled;
-    const double safe_tokens =
+    const double retained_tokens =
         (1 - costs_.eviction_risk_fraction) * static_cast<double>(query_.cache_tokens);
-    estimate.may_be_evicted = static_cast<double>(match.used_since) >= safe_tokens;
+    estimate.may_be_evicted = static_cast<double>(match.used_since) >= retained_tokens;
   }
 
   EngineCache::PrefixMatch MatchOn(const Backend& backend) const {
