--- a/libs/entry/include/entry/entry_instance.h
+++ b/libs/entry/include/entry/entry_instance.h
@@ -182,7 +182,7 @@
   }
 
   static std::size_t MaxConnections(const EntrySettings& settings) {
-    // The other half is for connections to backend servers and for files.
+    // Half of the descriptors are left for connections to backend servers and for files.
     return settings.max_descriptors / 2;
   }
 
@@ -216,7 +216,7 @@
     return options;
   }
 
-  /// Instances apply in the order of their membership keys.
+  /// Instances apply for the lease in the order of their membership keys.
   bool MayAcquireRolloutLease() {
     const bool vacant = !state_.shutting_down() && follower_.connected() &&
                         records_.Find(kRolloutHolderKey) == nullptr;
--- a/libs/entry/include/entry/entry_tuning.h
+++ b/libs/entry/include/entry/entry_tuning.h
@@ -1,4 +1,4 @@
-// Settings of an entry instance that this product defines itself.
+// Settings of an entry instance that the platform does not provide.
 
 #pragma once
 
@@ -17,7 +17,7 @@
   PlacementCosts placement;
   /// Time until a call without a response head is tried elsewhere, in latency objectives.
   double call_timeout_objectives = 3;
-  /// The same for streams.
+  /// The same for streaming calls, also in latency objectives.
   double stream_timeout_objectives = 8;
   AdmissionRule admission;
   PoisonRule poison;
@@ -28,14 +28,14 @@
   bool limit_by_measured_loads = true;
   /// Minimum drain time of an engine, used when all engines are busy.
   std::uint32_t min_drain_ms = 300;
-  /// Older weights cost nothing in placement for this long after newer ones were announced.
+  /// Placement adds no cost for older weights for this long after newer ones were announced.
   std::uint32_t older_weights_grace_ms = 1'000;
   /// At most one of this many engines loads weights at a time: the platform slows loads down when
   /// more than a fifth of the engines load.
   std::uint32_t engines_per_load = 5;
 
-  /// Up to this many gateways broadcast every request to all others. In larger fleets only the
-  /// gateways that track the backend server are notified and queried.
+  /// In fleets of up to this many gateways, each placed request is broadcast to all of them. In
+  /// larger fleets only the gateways that track the backend server are notified and queried.
   std::uint32_t max_broadcast_peers = 32;
 
   /// A call to the store takes 4 ms, and 0.4 s when the store is slow.
@@ -48,8 +48,8 @@
   /// requests must be refused.
   double ready_fraction = 0.6;
   std::chrono::milliseconds rollout_lease_ttl{2'000};
-  /// Delay between one instance and the next, by name, in applying for a free lease. Longer than
-  /// acquiring the lease takes.
+  /// Instances apply for a free lease in the order of their names, each this long after the
+  /// previous one. Longer than acquiring the lease takes.
   std::chrono::milliseconds election_stagger{250};
   /// Instances from this rank on all apply at once, in case those before them are partitioned off.
   std::size_t max_election_rank = 6;
@@ -57,10 +57,10 @@
   double quota_tolerance_fraction = QuotaTolerance().granted_fraction;
   /// See LimitTolerance.
   double limit_tolerance_fraction = LimitTolerance().used_fraction;
-  /// Quota lease holders act for 0.8 of this without the store. That is longer than API keys are
-  /// trusted without the store, so a store outage alone does not stop quota grants. When a holder
-  /// crashes, its zone's share is unavailable for this long; the other zones' shares suffice for
-  /// workspaces that use up to three quarters of their quotas.
+  /// A quota lease holder that cannot reach the store keeps granting for 0.8 of this. API keys are
+  /// trusted for less time without the store, so a store outage alone does not stop quota grants.
+  /// When a holder crashes, its zone's share is unavailable for this long; the other zones' shares
+  /// suffice for workspaces that use up to three quarters of their quotas.
   std::chrono::milliseconds quota_lease_ttl{8'000};
   /// Interval at which an instance checks whether it may take back the share that its previous
   /// process held. Until then a fleet that starts all at once serves no workspace with a quota.
@@ -70,11 +70,11 @@
   /// 15 s, which reduces the other instances' shares of the retry budget for as long.
   std::chrono::milliseconds member_ttl{15'000};
   int member_renewals_per_ttl = 3;
-  /// One gateway watches the store for all others. An empty watch that is shorter than the maximum
-  /// age of a followed copy, 1 s, leaves time for two hops.
+  /// A watch without changes returns after this. One gateway watches the store for all others,
+  /// whose copies may be at most 1 s old; the difference leaves time for two hops.
   std::chrono::milliseconds watch_timeout{700};
-  /// Time after the first listing for a relay to become known: otherwise a fleet that starts all at
-  /// once would watch the store from every instance.
+  /// After the first listing, an instance waits this long for a relay before it watches the store
+  /// itself. Otherwise every instance of a fleet that starts all at once would watch the store.
   std::chrono::milliseconds relay_wait{500};
   std::chrono::milliseconds housekeeping_interval{500};
   /// The balancer checks readiness once per second and needs two failures. Requests that come
@@ -82,7 +82,7 @@
   std::chrono::milliseconds lame_duck{2'600};
   /// Maximum time in which an engine completes a load that it was ordered to do.
   std::chrono::milliseconds max_load_time{1'500};
-  /// Requests that still wait this long before the end of the shutdown are answered at that point:
+  /// Requests still waiting when this much of the shutdown time remains are answered at that point:
   /// a gateway on a throttled core is stalled for up to 100 ms, the deadline is checked every
   /// 100 ms, and the response takes a few ms to reach the caller.
   std::chrono::milliseconds final_response_margin{300};
--- a/libs/entry/include/entry/quota_coordinator.h
+++ b/libs/entry/include/entry/quota_coordinator.h
@@ -1,5 +1,5 @@
-// Leases the availability zone's share of all quotas, and grants requests from the limits of the
-// zone's backend servers.
+// Leases the availability zone's share of all quotas, and grants requests within the rate limits of
+// the zone's backend servers.
 
 #pragma once
 
@@ -91,8 +91,9 @@
   }
 
  private:
-  /// Starts to compete for the lease once there are quotas or limits. Polling 20 times per second
-  /// would cause a fifth of all wake-ups in a fleet without quotas, hence the longer interval.
+  /// Starts to compete for the lease once there are quotas or limits. Until then it polls at a
+  /// longer interval, since polling 20 times per second would cause a fifth of all wake-ups in a
+  /// fleet without quotas.
   net::awaitable<void> RunLease() {
     constexpr std::chrono::milliseconds kIdlePollInterval{500};
     while (!HasQuotasOrLimits()) {
--- a/libs/entry/include/entry/state_dump.h
+++ b/libs/entry/include/entry/state_dump.h
@@ -15,7 +15,7 @@
 class GatewayState;
 class PoisonGuard;
 
-/// Status of the instance that GatewayState does not hold.
+/// The part of an instance's status that is not in GatewayState.
 struct InstanceStatus {
   DaemonId daemon;
   bool ready = false;
--- a/libs/peers/include/peers/gossip.h
+++ b/libs/peers/include/peers/gossip.h
@@ -36,8 +36,8 @@
 template <Mergeable News>
 class Gossip {
  public:
-  /// When an item is sent, after it was added. Connections broken by one crash are reported within
-  /// a millisecond and go out together.
+  /// Times since an item was added at which it is sent. Connections broken by one crash are
+  /// reported within a millisecond and sent together.
   static constexpr std::array<std::chrono::milliseconds, 3> kSendSchedule{
       std::chrono::milliseconds{1}, std::chrono::milliseconds{100}, std::chrono::milliseconds{500}};
   /// Limit on items in one datagram, which is then about 20 kB.
--- a/libs/peers/include/peers/load_messages.h
+++ b/libs/peers/include/peers/load_messages.h
@@ -1,4 +1,4 @@
-// Datagrams that query the gateways that track backend servers, and their answers.
+// Load queries to the trackers of backend servers, and their answers, as datagrams.
 
 #pragma once
 
--- a/libs/peers/include/peers/load_query_service.h
+++ b/libs/peers/include/peers/load_query_service.h
@@ -1,4 +1,4 @@
-// Queries the gateways that track backend servers, and answers queries about those tracked here.
+// Queries the trackers of backend servers, and answers queries about those tracked by this gateway.
 
 #pragma once
 
--- a/libs/peers/include/peers/peer_link.h
+++ b/libs/peers/include/peers/peer_link.h
@@ -43,17 +43,18 @@
     /// A placed request is reported at once, so that other gateways do not pile onto the same
     /// engine, but no sooner than this after the last message.
     std::chrono::microseconds placement_interval{5'000};
-    /// Added to it for each peer.
+    /// Added to `placement_interval` for each peer.
     std::chrono::microseconds placement_interval_per_peer{250};
     /// Maximum interval between messages; also the interval at which weight announcements are sent.
     std::chrono::milliseconds heartbeat{500};
-    /// In fleets of more gateways than this, trackers are updated and queried instead: a request
-    /// then costs about twenty datagrams, instead of one for each gateway.
+    /// In fleets of more gateways than this, updates are not broadcast; trackers are updated and
+    /// queried. A request then costs about twenty datagrams, instead of one for each gateway.
     std::size_t max_broadcast_gateways = 32;
     /// If the event loop did not run for longer than this, the process or its machine was
-    /// suspended. Ages in datagrams that were buffered meanwhile are too low by that time.
+    /// suspended. Datagrams buffered meanwhile state ages that are too low by up to that time.
     std::chrono::milliseconds suspension_threshold{1'000};
-    /// Draining the socket buffer takes less.
+    /// Messages received this soon after a suspension may have been buffered during it; draining
+    /// the socket buffer takes less.
     std::chrono::milliseconds stale_after_suspension{100};
     /// Load changes within this time are sent together.
     std::chrono::microseconds tracker_update_interval{1'000};
--- a/libs/peers/include/peers/quota_link.h
+++ b/libs/peers/include/peers/quota_link.h
@@ -31,14 +31,15 @@
     std::uint32_t shares = 1;
     std::uint64_t incarnation = 0;  ///< unique to each process and link
   };
-  /// What a link needs from its instance.
+  /// Queries to the instance that owns the link.
   struct Callbacks {
     std::function<void(const std::string& address, const QuotaMessage& message)> send;
     /// Returns the holders of the shares of the subject's quota.
     std::function<QuotaHolders(const QuotaSubject&)> find_holders;
-    /// Returns the holders of the other shares of the quotas that this instance holds a share of.
+    /// Returns the addresses from which this instance, as a share holder, can borrow: those of the
+    /// holders of the other shares.
     std::function<std::vector<std::string>()> find_lenders;
-    /// Returns the lease on the zone's key, or nullopt if this instance may not act on it.
+    /// Returns the lease on the zone's key, or nullopt if this instance may not grant under it.
     std::function<std::optional<QuotaHolder::Lease>(TimePoint)> find_lease;
     /// Returns the limits that have changed since the last call.
     std::function<std::map<QuotaSubject, QuotaLimits>()> take_changed_limits;
--- a/libs/peers/include/peers/recent_namings.h
+++ b/libs/peers/include/peers/recent_namings.h
@@ -9,8 +9,8 @@
 
 namespace ridgehold {
 
-/// Returns the latest announcements for each model, without those whose time is assumed: they would
-/// override the times that other gateways know.
+/// Returns the latest announcements for each model. Announcements whose time is only assumed are
+/// omitted, since they would override the times known to other gateways.
 std::vector<AnnouncementUpdate> RecentNamings(const WeightsHistory& named, TimePoint now);
 
 /// Applies the announcements of another gateway.
--- a/libs/peers/include/peers/store_copy_reader.h
+++ b/libs/peers/include/peers/store_copy_reader.h
@@ -48,17 +48,19 @@
     std::chrono::milliseconds relay_poll_interval{150};
     /// A relay with a working watch is never older than the watch interval of 1 s.
     std::chrono::milliseconds max_relay_age{1'300};
-    /// A relay that was not current for this long is no longer relied on.
+    /// The reader gives up a relay whose copy has not been current for this long.
     std::chrono::milliseconds relay_timeout{600};
-    /// Such a relay is then not asked for this long; its registration in the store expires later.
+    /// Time for which a relay is not asked after it was given up; its registration in the store
+    /// expires later.
     std::chrono::milliseconds relay_cooldown{5'000};
-    /// The same for a relay that lost its connection to the store, which may be restored soon.
+    /// Shorter cool-down of a relay that lost its connection to the store, which may be restored
+    /// soon.
     std::chrono::milliseconds store_lost_cooldown{1'000};
     /// A peer answers within a round trip, which takes 6 ms between zones.
     std::chrono::milliseconds timeout{250};
   };
 
-  /// Returns the address of the relay other than the given ones, if there is one.
+  /// Returns the address of a relay that is not in `excluded`, if there is one.
   using RelaySelector =
       std::function<std::optional<std::string>(const std::set<std::string>& excluded)>;
 
@@ -139,8 +141,8 @@
   }
 
   void RecordRelayAnswer(const StoreCopy& copy, TimePoint asked_at) {
-    // This relay cannot keep any gateway current. Waiting for its copy to age would use up the time
-    // in which changes must take effect.
+    // A relay that cannot reach the store cannot keep any gateway current. Waiting until its copy
+    // is too old would use up the time within which changes must take effect.
     if (copy.store_unreachable) {
       relay_current_at_ = {};
       cooldown_until_[*current_relay_] = asked_at + options_.store_lost_cooldown;
--- a/libs/peers/include/peers/tracked_news.h
+++ b/libs/peers/include/peers/tracked_news.h
@@ -37,7 +37,7 @@
                                       TimePoint now);
 
  private:
-  /// What a tracker was last sent.
+  /// The last update sent to a tracker.
   struct LastSent {
     std::vector<LoadUpdate> loads;
     TimePoint at{};
@@ -46,7 +46,7 @@
 
   using Receivers = std::vector<NewsForTracker*>;
 
-  /// Returns the receivers of updates about the backend server, without this gateway.
+  /// Returns the receivers of updates about the backend server, except this gateway itself.
   Receivers ReceiversFor(BackendHash backend, const TrackerMap& trackers, TimePoint now,
                          ByTracker& news) const;
   Receivers ReceiversForStore(LinkHash link, const TrackerMap& trackers, TimePoint now,
--- a/libs/peers/include/peers/tracker_map.h
+++ b/libs/peers/include/peers/tracker_map.h
@@ -22,11 +22,11 @@
   /// Consecutive unanswered queries until the gateway next in rank takes over. One is not enough: a
   /// datagram may be lost, or a gateway be throttled at its CPU limit.
   static constexpr int kMaxMisses = 2;
-  /// How long the gateway is then skipped; a killed process restarts within a second.
+  /// How long an unresponsive gateway is skipped; a killed process restarts within a second.
   static constexpr std::chrono::milliseconds kUnresponsiveCooldown{1'000};
-  /// A process that started less than this ago does not know what caches hold: an engine's cache
-  /// turns over within 2 to 10 s. Until then the next gateway is queried, which has received all
-  /// updates.
+  /// A process that started less than this ago does not know the contents of the engines' caches,
+  /// which turn over within 2 to 10 s. Until then the gateway next in rank, which has received all
+  /// updates, is queried.
   static constexpr std::chrono::seconds kWarmup{10};
   /// Gateways that receive the updates about a backend server, so that one of them may fail.
   static constexpr std::size_t kTrackersPerBackend = 2;
@@ -52,8 +52,8 @@
   /// gateways. Unresponsive and recently started ones are ranked last.
   const Gateway* TrackerOf(std::uint64_t hash, const ZoneId& zone, TimePoint now) const;
 
-  /// Returns the gateways to update, recently started ones included: kTrackersPerBackend, and the
-  /// one that is queried if it is not among them.
+  /// Returns the gateways that receive updates: the kTrackersPerBackend highest-ranked ones,
+  /// whether or not they started recently, and the result of TrackerOf() if it is not among them.
   std::vector<const Gateway*> TrackersOf(std::uint64_t hash, const ZoneId& zone,
                                          TimePoint now) const;
 
--- a/libs/peers/src/peer_link.cc
+++ b/libs/peers/src/peer_link.cc
@@ -90,7 +90,7 @@
 
 void PeerLink::HandleBackendNotices(BackendNewsList news, const net::ip::address& sender,
                                     TimePoint now) {
-  // A rest is sent as its remaining time, which is wrong in a delayed message.
+  // A cool-down is sent as its remaining time, which is wrong in a delayed message.
   if (now < stale_until_) {
     for (BackendNews& item : news.items) item.rest_left.reset();
   }
@@ -249,7 +249,7 @@
   if (const auto* poison = std::get_if<PoisonNews>(&message)) {
     return state_.poison().Take(*poison, now);
   }
-  // Stale messages are detected by their version number, except for rests.
+  // Stale messages are detected by their version number, except for cool-downs.
   if (const auto* words = std::get_if<BackendNewsList>(&message)) {
     return HandleBackendNotices(*words, sender.address(), now);
   }
--- a/libs/peers/src/quota_codec.cc
+++ b/libs/peers/src/quota_codec.cc
@@ -10,7 +10,7 @@
 namespace ridgehold {
 namespace {
 
-/// Amounts are never negative, whatever was received.
+/// Clamps a received value, which might otherwise become a negative amount.
 QuotaAmount PartsOf(std::uint64_t value) {
   constexpr std::uint64_t kMost = std::numeric_limits<QuotaAmount>::max();
   return static_cast<QuotaAmount>(std::min(value, kMost));
--- a/libs/peers/src/quota_link.cc
+++ b/libs/peers/src/quota_link.cc
@@ -10,7 +10,7 @@
 namespace ridgehold {
 namespace {
 
-// Wake-up interval while there is nothing to hold and no loan to time out.
+// Wake-up interval while this instance holds no share and no loan is pending.
 constexpr Duration kIdleInterval = std::chrono::seconds(60);
 // Holders apply a raised quota within this time after the configuration has arrived.
 constexpr Duration kRefreshInterval = std::chrono::milliseconds(100);
--- a/libs/peers/src/recent_namings.cc
+++ b/libs/peers/src/recent_namings.cc
@@ -6,7 +6,7 @@
 namespace ridgehold {
 namespace {
 
-// A rollout that lags by more announcements than this is not helped by older ones.
+// Older announcements are of no use to a rollout that lags by more than this many.
 constexpr std::size_t kMaxNamings = 6;
 
 }  // namespace
--- a/libs/peers/src/tracked_news.cc
+++ b/libs/peers/src/tracked_news.cc
@@ -26,7 +26,7 @@
     for (auto* to : ReceiversFor(backend, trackers, now, news))
       to->items.unreachable.push_back(backend);
   }
-  // Trackers that were sent load which has ended must be sent an update as well.
+  // Trackers whose last update reported load that has since ended need an update as well.
   for (const auto& [address, last_sent] : last_sent_) {
     const TrackerMap::Gateway* gateway = trackers.Find(address);
     if (gateway != nullptr && !last_sent.loads.empty()) AddReceiver(*gateway, news);
--- a/libs/peers/src/tracker_map.cc
+++ b/libs/peers/src/tracker_map.cc
@@ -70,7 +70,7 @@
   std::vector<const Gateway*> trackers;
   trackers.reserve(best_ranked.size() + 1);
   for (const auto& [priority, gateway] : best_ranked) trackers.push_back(gateway);
-  // If both started recently, the gateway that is queried instead must be updated as well.
+  // If all of these started recently, another gateway is queried; it must be updated as well.
   const Gateway* asked = TrackerOf(hash, zone, now);
   if (asked != nullptr && std::ranges::find(trackers, asked) == trackers.end()) {
     trackers.push_back(asked);
--- a/libs/quota/include/quota/grant_ledger.h
+++ b/libs/quota/include/quota/grant_ledger.h
@@ -14,7 +14,7 @@
 
 namespace ridgehold {
 
-/// A loan from the holder of another share that is part of a grant.
+/// The part of a grant that was borrowed from the holder of another share.
 struct QuotaLoan {
   std::string lender;  ///< address of the lending holder
   QuotaRequestId id;   ///< of the loan request
--- a/libs/quota/include/quota/quota_client.h
+++ b/libs/quota/include/quota/quota_client.h
@@ -43,8 +43,8 @@
   bool operator==(const QuotaOutcome&) const = default;
 };
 
-/// Asks the holder of the own zone's share first, and the other holders if that one is unknown or
-/// does not answer. A holder that timed out is sent a refund, and its late grants are ignored. Once
+/// Asks the holder of this zone's share first, and the other holders if that one is unknown or does
+/// not answer. A refund is sent to a holder that timed out, and its late grants are ignored. Once
 /// every holder was tried, a new round begins, until the demand's deadline.
 ///
 /// A state machine without I/O: messages and time are passed in, messages are returned. Not
@@ -77,7 +77,8 @@
   QuotaClient(Options options, std::uint64_t incarnation)
       : options_(options), scale_(options.shares), incarnation_(incarnation) {}
 
-  /// Sets the holders by zone; `own` is that of the own zone, empty if there is none.
+  /// Sets the addresses of the share holders. `own` is the holder in this instance's zone, empty if
+  /// there is none; `others` are the holders in the other zones.
   void SetHolders(std::string own, std::vector<std::string> others);
 
   /// Starts an acquisition and returns its id. TakeOutcome() may have a result at once.
--- a/libs/quota/include/quota/quota_holder.h
+++ b/libs/quota/include/quota/quota_holder.h
@@ -21,7 +21,7 @@
 /// lease. Tokens are granted from a token bucket that starts empty, so all holders together never
 /// grant more than the quota, whatever a previous holder granted and whichever zones are
 /// partitioned. A zone that needs more than its share borrows for one request at a time, and
-/// returns loans that did not suffice.
+/// refunds the loans if they do not cover the request.
 ///
 /// A state machine without I/O: messages and time are passed in, messages are returned. Not
 /// thread-safe.
@@ -34,7 +34,7 @@
     std::chrono::milliseconds loan_timeout{20};
     /// A lender that timed out is not asked for this long.
     std::chrono::milliseconds lender_cooldown{1'000};
-    /// How long the amount found in all shares after a failed loan is considered current.
+    /// How long a Shortage is valid.
     std::chrono::milliseconds shortage_ttl{200};
 
     bool operator==(const Options&) const = default;
@@ -56,7 +56,7 @@
   /// A lease on the share's key.
   struct Lease {
     std::uint64_t fencing_token = 0;  ///< unique to each lease
-    TimePoint exclusive_since{};      ///< since when no other holder can have granted
+    TimePoint exclusive_since{};      ///< no other holder can have granted after this
 
     bool operator==(const Lease&) const = default;
   };
@@ -105,7 +105,8 @@
 
     bool operator==(const Borrowing&) const = default;
   };
-  /// The amount available in all shares when borrowing last failed.
+  /// The amount available in all shares when borrowing last failed. Larger requests are refused
+  /// without asking the lenders again.
   struct Shortage {
     QuotaAmount amount = 0;
     TimePoint at{};
--- a/libs/quota/include/quota/quota_messages.h
+++ b/libs/quota/include/quota/quota_messages.h
@@ -29,8 +29,8 @@
   QuotaRequestId id;
   QuotaSubject subject;
   QuotaAmount amount = 0;
-  /// Sent by the holder of another share that lacks this amount. Partial grants are accepted, and
-  /// the receiver does not borrow for it.
+  /// The sender holds another share and borrows the amount that its own share lacks. The receiver
+  /// may grant a part, and does not borrow in turn.
   bool is_loan = false;
   QuotaLimits limits;  ///< as known to the sender
 
@@ -54,7 +54,7 @@
   bool operator==(const QuotaReply&) const = default;
 };
 
-/// The granted tokens were not used, or the requester has stopped waiting.
+/// Cancels a request or its grant: the requester has stopped waiting, or did not use the tokens.
 struct QuotaRefund {
   QuotaRequestId id;
 
--- a/libs/quota/include/quota/token_bucket.h
+++ b/libs/quota/include/quota/token_bucket.h
@@ -17,8 +17,8 @@
 /// number of them; see QuotaScale.
 using QuotaAmount = std::int64_t;
 
-/// The number of units in a token: a million for each share. With `n` shares, one share of `r`
-/// tokens per second refills at `r` units per microsecond, so nothing is rounded.
+/// Converts tokens to units. One token is a million units times the number of shares, so that one
+/// share of `r` tokens per second refills at exactly `r` units per microsecond.
 class QuotaScale {
  public:
   explicit QuotaScale(std::uint32_t shares) : shares_(shares == 0 ? 1 : shares) {}
@@ -35,16 +35,16 @@
 /// An amount consumed from a bucket in one call.
 struct ConsumedTokens {
   QuotaAmount amount = 0;
-  std::uint64_t sequence = 0;  ///< numbers the calls that consume from this bucket
+  std::uint64_t sequence = 0;  ///< of the consumption, unique in its bucket
 
   bool operator==(const ConsumedTokens&) const = default;
 };
 
 /// Two buckets, for the bursting and the steady limit. An amount that either of them holds may be
-/// consumed, and is deducted from both, so one of them may be overdrawn. In any interval no more is
-/// consumed than the larger of `rate * t + burst`, for one share of either limit, since at the last
-/// consumption one of the buckets was not overdrawn. Not thread-safe; time is passed in and must
-/// not decrease.
+/// consumed, and is deducted from both, so one of them may be overdrawn. The consumption in
+/// any interval `t` is at most the larger of the two limits' `rate * t + burst`, for one share: at
+/// the last consumption in it one of the buckets was not overdrawn. Not thread-safe; time is passed
+/// in and must not decrease.
 class TokenBucket {
  public:
   /// The bucket is empty at `empty_at`. The previous holder of the share is assumed to have
@@ -64,9 +64,9 @@
   /// Consumes what is available, at most `amount`.
   ConsumedTokens ConsumeUpTo(QuotaAmount amount, TimePoint now);
 
-  /// Returns an unused amount. The bucket is left as it would be without that consumption, and no
-  /// fuller: without it the bucket might have been full for a while and have lost refills. Has no
-  /// effect on amounts consumed before the last change of limits.
+  /// Undoes a consumption whose tokens were not used. The bucket is left as if it had never
+  /// happened, which may add less than the amount: a bucket that had stayed full would have
+  /// discarded refills. Has no effect on amounts consumed before the last change of limits.
   void Restore(const ConsumedTokens& unused, TimePoint now);
 
   bool operator==(const TokenBucket&) const = default;
--- a/libs/quota/include/quota/workspace_quota.h
+++ b/libs/quota/include/quota/workspace_quota.h
@@ -37,7 +37,7 @@
 /// The limits in force for a quota, as of one version of the configuration. Instances learn of a
 /// version at different times; the highest version seen applies.
 ///
-/// In any window no more is granted than the larger of what both limits allow.
+/// The amount granted in any window is at most what the more permissive of the two limits allows.
 struct QuotaLimits {
   std::uint64_t config_version = 0;
   RateLimit bursting;  ///< for a workspace that sends bursts after idle periods
--- a/libs/quota/src/request_limit.cc
+++ b/libs/quota/src/request_limit.cc
@@ -5,8 +5,8 @@
 namespace ridgehold {
 namespace {
 
-// Without any request no instance would learn that a limit was lifted; one in 10 s is within every
-// tolerance.
+// Minimum rate in force. If no request were sent, no instance would learn that a limit was lifted;
+// one request in 10 s is within the tolerance of any limit.
 constexpr RequestRate kMinRate = RequestRate::FromThousandths(100);
 
 }  // namespace
--- a/libs/quota/src/workspace_quota.cc
+++ b/libs/quota/src/workspace_quota.cc
@@ -6,7 +6,8 @@
 namespace {
 
 // Burst of a workspace with sustained traffic: one or two of the longest prompts that callers send
-// (about 15,000 tokens), or an eighth of a second's worth if that is more.
+// (about 15,000 tokens), or 1/64 of what the tolerance window allows if that is more; in a window
+// of 8 s, that is about an eighth of a second's worth.
 constexpr double kMinSteadyBurst = 16'000;
 constexpr double kSteadyBurstFraction = 1.0 / 64;
 
--- a/libs/quota/test/quota_holder-test.cc
+++ b/libs/quota/test/quota_holder-test.cc
@@ -112,7 +112,7 @@
   BOOST_TEST((after.front() == QuotaOutgoing{kLenderA, QuotaRefund{loan.id}}));
   const QuotaReply refused = ReplyIn(after);
   BOOST_TEST((refused.verdict == QuotaVerdict::kOverQuota));
-  // 60 tokens are missing, at 100 tokens per second.
+  // Refilling the missing 60 tokens takes 600 ms at 100 tokens per second.
   BOOST_TEST(refused.retry_after.count() >= 600'000);
   BOOST_TEST(refused.retry_after.count() < 610'000);
   // The shortage is cached, so later requests are refused without asking a lender.
--- a/libs/quota/test/token_bucket-test.cc
+++ b/libs/quota/test/token_bucket-test.cc
@@ -38,7 +38,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(sustained_traffic_gets_what_a_window_allows) {
-  // 8 s of 100 tokens and a burst of 100, plus 10 % and 50 tokens: 1,040 in 8 s.
+  // The quota allows 8 * 100 + 100 = 900 tokens in 8 s; with 10 % and 50 tokens on top, 1,040.
   const WorkspaceQuota quota{QuotaUnit::kRequests, 100, 100, 0};
   const QuotaLimits limits = EffectiveLimits(quota, {seconds(8), 0.1, 50, 1.0}, 1);
   const QuotaScale scale(1);
@@ -73,7 +73,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(restored_amount_does_not_exceed_a_full_bucket) {
-  // Without the consumption the bucket would have stayed full and lost the refill of 50 ms.
+  // Had nothing been consumed, the bucket would have stayed full and discarded the 50 ms of refill,
+  // so Restore() yields 95 tokens, not 100.
   const QuotaScale scale(1);
   TokenBucket bucket(SingleRate(100, 100), kStart);
   const TimePoint full = kStart + seconds(10);
--- a/programs/ridgehold-model.cc
+++ b/programs/ridgehold-model.cc
@@ -58,8 +58,8 @@
   }
 }
 
-/// Simulates cool-downs announced to the instances in `scope`, with the others reacting as `mode`
-/// says, for all seeds, and prints the result as one line.
+/// Simulates cool-downs announced to the instances in `scope`, with all seeds, and prints the
+/// result as one line. `mode` selects how the other instances react.
 void SimulateCoolDown(std::size_t instances, RestTrouble scope, RestWay mode,
                       const Options& options) {
   constexpr double kThousand = 1'000;
--- a/programs/ridgeholdd.cc
+++ b/programs/ridgeholdd.cc
@@ -1,4 +1,4 @@
-// ridgeholdd: the daemon process of an entry instance.
+// ridgeholdd: the router daemon, configured by an INI file.
 
 #include <CLI/CLI.hpp>
 #include <atomic>
