--- a/libs/control/include/control/quarantine_writer.h
+++ b/libs/control/include/control/quarantine_writer.h
@@ -93,7 +93,7 @@
     if (quarantine.until - now < options_.min_remaining) return false;
     if (records_.Find(KeyOf(quarantine.request)) != nullptr) return false;
     const TimePoint first_seen = first_seen_.try_emplace(quarantine.request, now).first->second;
-    if (guard_.DecidedHere(quarantine.request)) return true;
+    if (guard_.DecidedLocally(quarantine.request)) return true;
     const std::size_t rank = records_.MemberRank(kMemberPrefix + options_.self.value());
     return now - first_seen >=
            options_.takeover_delay + std::min(rank, options_.max_rank) * options_.delay_per_rank;
--- a/libs/control/include/control/rollout_controller.h
+++ b/libs/control/include/control/rollout_controller.h
@@ -194,7 +194,7 @@
     LoadQuestion question;
     question.backends.push_back(step.engine);
     question.model = step.model;
-    co_await state_.AskLoads(std::move(question));
+    co_await state_.QueryLoads(std::move(question));
   }
 
   net::awaitable<void> DrainAndLoad(const RolloutStep& step, Timer& timer, StepTimes& times) {
--- a/libs/control/test/quarantine_writer-test.cc
+++ b/libs/control/test/quarantine_writer-test.cc
@@ -39,13 +39,13 @@
     for (const char* name : names) {
       Backend backend;
       backend.entry.id = BackendId(name);
-      guard.NoteBroken(backend, kRequest, Clock::now());
-      guard.NoteEnded(backend, "refused", Clock::now());
+      guard.RecordInterruption(backend, kRequest, Clock::now());
+      guard.RecordCrash(backend, "refused", Clock::now());
     }
   }
 
   Metrics metrics;
-  PoisonGuard guard{metrics, PoisonRule{}};
+  PoisonGuard guard{metrics, PoisonOptions{}};
   InstanceRecords records;
   MemoryStore store;
   QuarantineWriter<MemoryStore> writer;
@@ -71,8 +71,8 @@
   const auto until = DecodeQuarantine(table.items().at(kKey).value);
   BOOST_REQUIRE(until.has_value());
   const auto left = *until - std::chrono::system_clock::now();
-  BOOST_TEST((left > PoisonRule{}.quarantine - 5s));
-  BOOST_TEST((left <= PoisonRule{}.quarantine));
+  BOOST_TEST((left > PoisonOptions{}.quarantine - 5s));
+  BOOST_TEST((left <= PoisonOptions{}.quarantine));
   BOOST_TEST(table.items().at(kKey).lease != StoreLeaseId(0));
 }
 
--- a/libs/entry/include/entry/entry_instance.h
+++ b/libs/entry/include/entry/entry_instance.h
@@ -150,7 +150,7 @@
             state_, follower_, CopyOptions(), [this] { return PeerAddresses(); },
             [this](const std::set<std::string>& excluded) { return FindRelay(excluded); }),
         timer_(executor) {
-    state_.SetEndConfirmer(
+    state_.SetCrashConfirmer(
         [this](BackendPtr backend) { return prober_.Confirm(std::move(backend)); });
   }
 
@@ -170,8 +170,8 @@
     limits.backend_limits.used_fraction = tuning.limit_tolerance_fraction;
     limits.admission = tuning.admission;
     limits.poison = tuning.poison;
-    limits.patience_objectives = tuning.call_timeout_objectives;
-    limits.stream_patience_objectives = tuning.stream_timeout_objectives;
+    limits.response_timeout_objectives = tuning.call_timeout_objectives;
+    limits.stream_timeout_objectives = tuning.stream_timeout_objectives;
     return limits;
   }
 
@@ -380,7 +380,7 @@
     while (!stopped_) {
       const TimePoint now = Clock::now();
       state_.pool().Sweep(now);
-      state_.SetHeardGateways(peers_->active_peers());
+      state_.SetReportingGateways(peers_->active_peers());
       for (const BackendId& id : state_.directory().Expire(now)) {
         Log(LogLevel::kInfo, "backend removed after its grace period", {{"backend", id.value()}});
       }
@@ -419,7 +419,7 @@
   net::awaitable<void> ShutDown(std::function<void()> done) {
     const TimePoint started = Clock::now();
     const TimePoint deadline = started + settings_.shutdown_timeout - tuning_.shutdown_margin;
-    state_.SetLastAnswers(deadline - tuning_.final_response_margin);
+    state_.SetResponseDeadline(deadline - tuning_.final_response_margin);
     Timer timer(executor_);
     net::co_spawn(executor_, ReleaseRolloutLease(deadline), net::detached);
     co_await membership_.Release();
--- a/libs/entry/include/entry/entry_settings.h
+++ b/libs/entry/include/entry/entry_settings.h
@@ -42,7 +42,7 @@
   std::chrono::milliseconds max_weights_staleness{10'000};
   /// Time from the shutdown signal until the process is killed.
   std::chrono::milliseconds shutdown_timeout{8'000};
-  RetryBound retries;
+  RetryBudgetLimits retries;
   QuotaTolerance quota_tolerance;
 };
 
--- a/libs/entry/include/entry/entry_tuning.h
+++ b/libs/entry/include/entry/entry_tuning.h
@@ -19,8 +19,8 @@
   double call_timeout_objectives = 3;
   /// The same for streaming calls, also in latency objectives.
   double stream_timeout_objectives = 8;
-  AdmissionRule admission;
-  PoisonRule poison;
+  AdmissionOptions admission;
+  PoisonOptions poison;
   BackendProber::Options probing;
   /// Whether running requests are aborted for a weights load only while the retry budget allows.
   bool preserve_retry_budget = true;
--- a/libs/entry/include/entry/quota_coordinator.h
+++ b/libs/entry/include/entry/quota_coordinator.h
@@ -51,7 +51,7 @@
     peers_ = &peers;
     peers.SetQuotaListener(
         [this](const QuotaMessage& message, const std::string& from) { Handle(message, from); });
-    GatewayState::QuotaAsker asker;
+    GatewayState::QuotaHandlers asker;
     asker.acquire = [this](QuotaDemand demand) {
       QuotaLink& link = LinkForSubject(demand.subject);
       return link.Acquire(std::move(demand));
@@ -59,7 +59,7 @@
     asker.give_back = [this](const QuotaTicket& ticket) {
       LinkForRequest(ticket.id).Refund(ticket);
     };
-    state_.SetQuotaAsker(std::move(asker));
+    state_.SetQuotaHandlers(std::move(asker));
     state_.words().SetLimitListener([this] { start_timer_.cancel(); });
     net::co_spawn(state_.executor(), RunLease(), net::detached);
     net::co_spawn(state_.executor(), workspaces_.Run(), net::detached);
@@ -105,7 +105,7 @@
 
   bool HasQuotasOrLimits() const {
     const bool quotas = state_.snapshot() && state_.snapshot()->has_quotas();
-    return quotas || state_.words().AnyLimit(Clock::now());
+    return quotas || state_.words().HasRecentLimit(Clock::now());
   }
 
   static bool IsBackendSubject(const QuotaSubject& subject) {
--- a/libs/entry/src/state_dump.cc
+++ b/libs/entry/src/state_dump.cc
@@ -83,7 +83,7 @@
                        std::span<const QuotaHolder::Usage> usages, TimePoint now) {
   json notices = json::array();
   for (const auto& [id, backend] : state.directory().all()) {
-    const BackendWord& word = backend->notice_state;
+    const PushbackState& word = backend->notice_state;
     const auto notice = NoticeRecordOf(*backend, now);
     if (!notice) continue;
     const auto barred =
--- a/libs/entry/src/tuning_options.cc
+++ b/libs/entry/src/tuning_options.cc
@@ -89,11 +89,11 @@
   Add("admission.enabled", tuning.admission.enabled,
       "Queue completion requests in the gateway until an engine has capacity");
   AddFraction(
-      "admission.full-part", tuning.admission.full_part,
+      "admission.full-part", tuning.admission.max_load_fraction,
       "Maximum prefill backlog of an engine, as a fraction of the shortest latency objective");
-  AddFraction("admission.late-part", tuning.admission.late_part,
+  AddFraction("admission.late-part", tuning.admission.late_load_fraction,
               "The same for requests that already miss their objective");
-  Add("admission.longest-wait", tuning.admission.longest_wait,
+  Add("admission.longest-wait", tuning.admission.max_wait_objectives,
       "Maximum queueing time of a request, in latency objectives");
   Add("poison.most-ends", tuning.poison.most_ends,
       "Backend servers that crash while running a request before it is quarantined; 0: never");
--- a/libs/gateway/include/gateway/admission.h
+++ b/libs/gateway/include/gateway/admission.h
@@ -10,18 +10,18 @@
 
 /// Parameters of Admission. Fractions are relative to an engine's capacity: the shortest latency
 /// objective of the routes to its service.
-struct AdmissionRule {
+struct AdmissionOptions {
   /// If false, every request is forwarded to its engine immediately.
   bool enabled = true;
   /// Maximum prefill work outstanding at an engine, including the request's own. The remainder
   /// covers round trips and requests that two gateways send concurrently.
-  double full_part = 0.9;
+  double max_load_fraction = 0.9;
   /// Requests that are late or very long are forwarded to an engine whose outstanding prefill work
   /// is at most this fraction: one more prompt then still completes within the objective.
-  double late_part = 0.25;
+  double late_load_fraction = 0.25;
   /// Maximum time from arrival to admission, in multiples of the request's latency objective.
   /// Clients of streams commonly disconnect after four objectives.
-  double longest_wait = 3;
+  double max_wait_objectives = 3;
 };
 
 /// Input of an admission decision; times are estimates.
@@ -41,18 +41,18 @@
 /// than half. Stateless.
 class Admission {
  public:
-  explicit Admission(AdmissionRule rule) : rule_(rule) {}
+  explicit Admission(AdmissionOptions rule) : rule_(rule) {}
 
   bool MaySend(const AdmissionQuery& query) const;
 
   /// Whether the request has waited for the maximum time and is sent regardless of load.
-  bool WaitedEnough(const AdmissionQuery& query) const;
+  bool WaitExpired(const AdmissionQuery& query) const;
 
   /// Whether the request can still meet its objective if it is sent now.
   static bool InTime(const AdmissionQuery& query);
 
  private:
-  AdmissionRule rule_;
+  AdmissionOptions rule_;
 };
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/attempt_messages.h
+++ b/libs/gateway/include/gateway/attempt_messages.h
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "base/ids.h"
-#include "gateway/backend_notice.h"
+#include "gateway/backend_pushback.h"
 #include "gateway/inbound_request.h"
 
 namespace ridgehold {
@@ -28,7 +28,7 @@
 };
 
 /// Status and metadata of a response head.
-struct AnswerHead {
+struct BackendResponseHead {
   int status = 0;
   bool not_executed = false;   ///< the backend server states that it did not execute the request
   bool has_signature = false;  ///< proves that the backend server produced the response
@@ -36,7 +36,7 @@
   bool event_stream = false;
   RequestId request;  ///< empty if the response does not identify one
   std::optional<WeightsNumber> weights;
-  BackendNotice notice;
+  BackendPushback notice;
 };
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/attempt_policy.h
+++ b/libs/gateway/include/gateway/attempt_policy.h
@@ -11,7 +11,7 @@
 namespace ridgehold {
 
 /// How an attempt ended.
-enum class AttemptEnd : std::uint8_t {
+enum class AttemptOutcome : std::uint8_t {
   kStreamed,    ///< the complete stream was forwarded
   kAnswered,    ///< a complete response was received
   kNotSent,     ///< no byte of the request was sent
@@ -23,8 +23,8 @@
 };
 
 /// Input of a retry decision.
-struct AttemptFacts {
-  AttemptEnd end = AttemptEnd::kBroken;
+struct RetryDecisionInput {
+  AttemptOutcome end = AttemptOutcome::kBroken;
   int status = 0;             ///< only for kAnswered
   bool not_executed = false;  ///< the backend server states that it did not execute the request
   bool has_signature = false;
@@ -39,25 +39,25 @@
 
 /// Action after an attempt.
 enum class NextStep : std::uint8_t {
-  kDone,      ///< no further action
-  kDeliver,   ///< forward the backend server's response
-  kTryAgain,  ///< retry on another backend server if the retry budget allows
-  kRefuse,    ///< report that the request was not executed
-  kFail,      ///< report that the request may have been executed
-  kBreakOff,  ///< abort the stream so that the client sees it as truncated
+  kDone,         ///< no further action
+  kDeliver,      ///< forward the backend server's response
+  kRetry,        ///< retry on another backend server if the retry budget allows
+  kRefuse,       ///< report that the request was not executed
+  kFail,         ///< report that the request may have been executed
+  kAbortStream,  ///< abort the stream so that the client sees it as truncated
 };
 
 /// Additional sends beyond a route's execution limit: a rejected request was not executed.
-inline constexpr std::uint32_t kMostRefusedSends = 3;
+inline constexpr std::uint32_t kMaxExtraSends = 3;
 
 /// Returns whether the attempt proves that the request was not executed.
-bool ProvesNotRun(const AttemptFacts& facts);
+bool ProvesNotExecuted(const RetryDecisionInput& facts);
 
-/// Chooses the next step. If this is `kTryAgain` and the retry budget is exhausted, use
+/// Chooses the next step. If this is `kRetry` and the retry budget is exhausted, use
 /// `StepWithoutRetry` instead.
-NextStep DecideNext(const AttemptFacts& facts);
+NextStep DecideNext(const RetryDecisionInput& facts);
 
 /// Chooses the next step when no further attempt is made.
-NextStep StepWithoutRetry(const AttemptFacts& facts);
+NextStep StepWithoutRetry(const RetryDecisionInput& facts);
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/backend_directory.h
+++ b/libs/gateway/include/gateway/backend_directory.h
@@ -15,10 +15,10 @@
 #include <vector>
 
 #include "base/ids.h"
-#include "gateway/backend_word.h"
 #include "gateway/engine_cache.h"
 #include "gateway/gateway_gossip.h"
 #include "gateway/inbound_request.h"
+#include "gateway/pushback_state.h"
 
 namespace ridgehold {
 
@@ -70,7 +70,7 @@
   TimePoint first_event_wait_at{};
   std::multiset<TimePoint> waiting_since;  ///< send times of requests without a first event
   EngineCache cache;                       ///< estimated, for the weights it runs now
-  BackendWord notice_state;
+  PushbackState notice_state;
 };
 
 using BackendPtr = std::shared_ptr<Backend>;
@@ -81,7 +81,7 @@
 /// Whether the backend server is chosen only if there is no other: it recently failed or refused a
 /// request of this gateway, or other gateways report that it did.
 inline bool IsAvoided(const Backend& backend, TimePoint now) {
-  return backend.avoid_until > now || backend.notice_state.doubted_until() > now;
+  return backend.avoid_until > now || backend.notice_state.deprioritized_until() > now;
 }
 
 /// How a registration changed the directory.
@@ -176,7 +176,7 @@
   std::unordered_map<BackendId, StartStamp> starts_;  ///< latest known start of each id
   /// Notices of backend servers that are gone. A registration that lapses and comes back is of the
   /// same process, so its notices still hold.
-  std::unordered_map<BackendHash, BackendWord> saved_notices_;
+  std::unordered_map<BackendHash, PushbackState> saved_notices_;
   std::function<void(const Backend&)> on_termination_;
   std::set<ServiceId> services_;  ///< empty until the configuration is known
 };
--- a/libs/gateway/include/gateway/backend_permit.h
+++ b/libs/gateway/include/gateway/backend_permit.h
@@ -18,9 +18,9 @@
 enum class PermitVerdict : std::uint8_t {
   kNotNeeded,  ///< the backend server has no limit
   kGranted,
-  kUncounted,     ///< no quota holder answered; sent in a fallback slot
-  kRefused,       ///< the limit is exhausted
-  kNobodyCounts,  ///< no quota holder answered, and no fallback slot is free
+  kFallback,  ///< no quota holder answered; sent in a fallback slot
+  kRefused,   ///< the limit is exhausted
+  kNoHolder,  ///< no quota holder answered, and no fallback slot is free
 };
 
 struct Permit {
@@ -29,20 +29,20 @@
   Duration took{0};
 
   bool MaySend() const {
-    return verdict != PermitVerdict::kRefused && verdict != PermitVerdict::kNobodyCounts;
+    return verdict != PermitVerdict::kRefused && verdict != PermitVerdict::kNoHolder;
   }
 };
 
 /// Identity of the gateway that requests the permit.
-struct PermitAsker {
+struct PermitRequester {
   std::uint64_t gateway = 0;   ///< unique for each gateway
   std::uint32_t gateways = 1;  ///< number of live gateways
 };
 
 /// Converts a quota outcome into a verdict for one request. Without a permit, the backend server is
 /// blocked at this gateway until a permit may be available.
-PermitVerdict JudgePermit(Backend& backend, const QuotaOutcome& outcome, const PermitAsker& asker,
-                          TimePoint now);
+PermitVerdict ResolvePermit(Backend& backend, const QuotaOutcome& outcome,
+                            const PermitRequester& asker, TimePoint now);
 
 /// Acquires a permit from the quota holder of the backend server, if it has a limit.
 net::awaitable<Permit> AcquirePermit(GatewayState& state, BackendPtr backend);
--- a/libs/gateway/include/gateway/backend_prober.h
+++ b/libs/gateway/include/gateway/backend_prober.h
@@ -30,7 +30,7 @@
     std::chrono::milliseconds pause{250};
     /// A backend server is probed if a request has waited for its first event for this many of the
     /// service's shortest objectives: engines are given less than one objective of prefill work.
-    double suspicious_objectives = 1.25;
+    double suspect_after_objectives = 1.25;
     /// Maximum time an interrupted request waits for the probe before it is retried: the host of a
     /// terminated process refuses connections within one round trip, 6 ms between zones.
     std::chrono::milliseconds confirm_limit{20};
@@ -38,9 +38,9 @@
     /// of the request may have crashed other servers, which is reported within 1 ms plus a one-way
     /// latency of 3 ms. Three concurrent copies crashed six servers without this delay and three
     /// with it.
-    std::chrono::milliseconds word_of_others{10};
+    std::chrono::milliseconds peer_report_delay{10};
     /// Maximum number of concurrent probes; further ones wait for the next scan.
-    std::size_t most_at_once = 16;
+    std::size_t max_concurrent = 16;
   };
 
   BackendProber(GatewayState& state, Options options)
--- a/libs/gateway/include/gateway/backend_notice.h
+++ b/libs/gateway/include/gateway/backend_pushback.h
@@ -11,7 +11,7 @@
 
 /// Pushback in one response. A backend server repeats it in each response for as long as it
 /// applies.
-struct BackendNotice {
+struct BackendPushback {
   /// Request rate that it accepts from all instances together; empty: no limit.
   std::optional<RequestRate> limit;
   bool limit_unreadable = false;  ///< a limit is present but cannot be parsed
@@ -19,7 +19,7 @@
   /// It rejected the request and asks this instance to back off for this long.
   std::optional<std::chrono::milliseconds> rest;
 
-  bool operator==(const BackendNotice&) const = default;
+  bool operator==(const BackendPushback&) const = default;
 };
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/caller_connection.h
+++ b/libs/gateway/include/gateway/caller_connection.h
@@ -45,7 +45,7 @@
   bool caller_gone() const { return caller_gone_; }
 
   /// Polls the socket for a disconnect, whose event may still be queued in a busy event loop.
-  bool CheckCallerGone();
+  bool PollCallerGone();
 
   /// Each returns false when the client has disconnected.
   net::awaitable<bool> Send(ResponseMessage answer, bool close_after);
@@ -60,7 +60,7 @@
   void CloseIfIdle();
 
   /// Whether the connection can carry another request.
-  bool KeepsOpen() const { return socket_.is_open() && !close_after_ && !caller_gone_; }
+  bool CanServeAnother() const { return socket_.is_open() && !close_after_ && !caller_gone_; }
 
  private:
   using Parser = http::request_parser<http::string_body>;
--- a/libs/gateway/include/gateway/caller_server.h
+++ b/libs/gateway/include/gateway/caller_server.h
@@ -10,9 +10,9 @@
 #include <memory>
 
 #include "gateway/caller_connection.h"
+#include "gateway/error_response.h"
 #include "gateway/exchange.h"
 #include "gateway/gateway_state.h"
-#include "gateway/refusal.h"
 #include "gateway/wire_format.h"
 #include "log/log.h"
 
@@ -44,7 +44,7 @@
   /// Fails requests without a response; call when the state's response deadline has passed.
   void AnswerWaiting() {
     for (const auto& [connection, exchange] : connections_) {
-      if (exchange) exchange->EndWaiting();
+      if (exchange) exchange->FailIfPending();
     }
   }
 
@@ -76,7 +76,7 @@
 
   net::awaitable<void> Serve(ConnectionPtr connection) {
     ExchangePtr& exchange = connections_[connection];
-    while (connection->KeepsOpen()) {
+    while (connection->CanServeAnother()) {
       const CallerLimits limits = state_.snapshot() ? state_.snapshot()->limits() : CallerLimits{};
       const ReadOutcome outcome = co_await connection->Read(limits);
       if (outcome.kind == ReadOutcome::Kind::kClosed) break;
@@ -99,7 +99,7 @@
         .Add();
     Log(LogLevel::kWarn, "reading client request failed",
         {{"code", std::string(Describe(failure.code).name)}, {"detail", failure.detail}});
-    ResponseMessage answer = MakeRefusal(failure, RequestId());
+    ResponseMessage answer = MakeErrorResponse(failure, RequestId());
     co_await connection->Send(std::move(answer), true);
   }
 
--- a/libs/gateway/include/gateway/withdrawable_attempts.h
+++ b/libs/gateway/include/gateway/cancellable_attempts.h
@@ -15,7 +15,7 @@
 /// Each attempt is registered with `Facts` by which it can be selected for cancellation. Runs on
 /// one executor; must outlive its tickets.
 template <class Facts>
-class WithdrawableAttempts {
+class CancellableAttempts {
  public:
   /// Cancels the attempt. The callback may destroy its own ticket and others.
   using Withdraw = std::function<void()>;
@@ -23,7 +23,7 @@
   /// Keeps an attempt registered while it lives.
   class Ticket {
    public:
-    Ticket(WithdrawableAttempts& attempts, std::uint64_t number)
+    Ticket(CancellableAttempts& attempts, std::uint64_t number)
         : attempts_(&attempts), number_(number) {}
     ~Ticket() { attempts_->entries_.erase(number_); }
 
@@ -31,7 +31,7 @@
     Ticket& operator=(const Ticket&) = delete;
 
    private:
-    WithdrawableAttempts* attempts_;
+    CancellableAttempts* attempts_;
     std::uint64_t number_;
   };
 
@@ -45,7 +45,7 @@
   /// Cancels and unregisters the attempts whose facts satisfy `matches`, which is called once for
   /// each before any is cancelled.
   template <class Predicate>
-  void WithdrawIf(Predicate matches) {
+  void CancelIf(Predicate matches) {
     std::vector<std::uint64_t> matching;
     for (const auto& [number, entry] : entries_) {
       if (matches(entry.facts)) matching.push_back(number);
--- a/libs/gateway/include/gateway/deferred_requests.h
+++ b/libs/gateway/include/gateway/deferred_requests.h
@@ -43,7 +43,7 @@
     Ticket& operator=(const Ticket&) = delete;
 
     /// Moves the request behind those that can still meet their objective.
-    void SetLate();
+    void MarkLate();
 
     /// Whether the request is among the first kLooking.
     bool MayLook() const;
--- a/libs/gateway/include/gateway/refusal.h
+++ b/libs/gateway/include/gateway/error_response.h
@@ -16,7 +16,7 @@
 
 /// Builds the response for `failure`: a JSON error, the numeric code in `X-Ridgehold-Code`, and
 /// `Retry-After` where a retry may succeed.
-ResponseMessage MakeRefusal(const Failure& failure, const RequestId& request,
-                            std::chrono::milliseconds retry_after = kDefaultRetryAfter);
+ResponseMessage MakeErrorResponse(const Failure& failure, const RequestId& request,
+                                  std::chrono::milliseconds retry_after = kDefaultRetryAfter);
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/event_relay.h
+++ b/libs/gateway/include/gateway/event_relay.h
@@ -31,7 +31,7 @@
   bool incomplete() const { return reader_.has_partial_event() || reader_.failed(); }
 
   /// Whether any event has been forwarded.
-  bool passed_any() const { return passed_any_; }
+  bool any_forwarded() const { return passed_any_; }
 
  private:
   /// Returns whether the client already has the event; otherwise records its number.
--- a/libs/gateway/include/gateway/exchange.h
+++ b/libs/gateway/include/gateway/exchange.h
@@ -13,10 +13,10 @@
 #include "gateway/backend_load.h"
 #include "gateway/backend_search.h"
 #include "gateway/caller_connection.h"
+#include "gateway/error_response.h"
 #include "gateway/event_relay.h"
 #include "gateway/exchange_plan.h"
 #include "gateway/gateway_state.h"
-#include "gateway/refusal.h"
 #include "gateway/request_log.h"
 #include "gateway/wire_format.h"
 #include "net/wait.h"
@@ -37,15 +37,15 @@
   /// Responds to the request that `caller` has read.
   net::awaitable<void> Run() {
     auto self = this->shared_from_this();
-    state_.RequestBegan();
+    state_.OnRequestStarted();
     co_await Answer();
-    state_.RequestEnded();
+    state_.OnRequestFinished();
     LogRequest(state_, record_);
   }
 
   /// Fails a request without a response once the response deadline has passed. A response in
   /// progress continues.
-  void EndWaiting() {
+  void FailIfPending() {
     if (!begun_ && attempt_.connection) attempt_.connection->Cancel();
   }
 
@@ -56,7 +56,7 @@
     TimePoint sent{};
     std::optional<WeightsNumber> expected_weights;
     std::shared_ptr<OutboundConnection> connection;
-    AnswerHead head;
+    BackendResponseHead head;
     ResponseHead caller_head;
     std::string body;
     bool prefilled = false;
@@ -90,13 +90,13 @@
     }
     co_await Send();
     const bool unused = record_.quota && !facts_.may_have_run;
-    if (unused) state_.GiveBackQuota(record_.quota->ticket);
+    if (unused) state_.RefundQuota(record_.quota->ticket);
   }
 
   /// Sends the request to backend servers until one responds or no further attempt is allowed.
   net::awaitable<void> Send() {
-    NextStep step = NextStep::kTryAgain;
-    while (step == NextStep::kTryAgain) step = co_await TryOnce();
+    NextStep step = NextStep::kRetry;
+    while (step == NextStep::kRetry) step = co_await TryOnce();
     co_await Finish(step);
   }
 
@@ -165,11 +165,11 @@
     ++record_.attempts;
     const bool last_run = facts_.runs + 1 >= facts_.max_runs;
     load_.emplace(state_, plan_, inbound_, *choice, last_run);
-    const AttemptEnd end = co_await RunAttempt(*choice);
+    const AttemptOutcome end = co_await RunAttempt(*choice);
     load_.reset();
-    const bool unused = end == AttemptEnd::kNotSent || end == AttemptEnd::kSkipped;
-    if (unused && record_.permit.ticket) state_.GiveBackQuota(*record_.permit.ticket);
-    if (end == AttemptEnd::kBroken) co_await NoteBroken();
+    const bool unused = end == AttemptOutcome::kNotSent || end == AttemptOutcome::kSkipped;
+    if (unused && record_.permit.ticket) state_.RefundQuota(*record_.permit.ticket);
+    if (end == AttemptOutcome::kBroken) co_await RecordInterruption();
     co_return Judge(end);
   }
 
@@ -181,14 +181,14 @@
 
   NextStep StepOfQuarantined() {
     last_code_ = ResultCode::kPoisonRequest;
-    return facts_.stream_begun ? NextStep::kBreakOff : NextStep::kFail;
+    return facts_.stream_begun ? NextStep::kAbortStream : NextStep::kFail;
   }
 
   /// Before a retry, determines whether the backend server crashed while running the request, and
   /// shares this with peers.
-  net::awaitable<void> NoteBroken() {
-    state_.poison().NoteBroken(*attempt_.backend, plan_.fingerprint, Clock::now());
-    co_await state_.ConfirmEnd(attempt_.backend);
+  net::awaitable<void> RecordInterruption() {
+    state_.poison().RecordInterruption(*attempt_.backend, plan_.fingerprint, Clock::now());
+    co_await state_.ConfirmCrash(attempt_.backend);
   }
 
   /// Next step when no backend server can take the request.
@@ -216,13 +216,13 @@
     record_.backend_notice = NoticeRecordOf(backend, now);
   }
 
-  net::awaitable<AttemptEnd> RunAttempt(const BackendChoice& choice) {
+  net::awaitable<AttemptOutcome> RunAttempt(const BackendChoice& choice) {
     const std::string address = attempt_.backend->entry.address;
     Checkout checkout = co_await state_.pool().Acquire(address, WaitLimit());
     if (checkout.fault != ExchangeFault::kNone) co_return EndOf(checkout.fault);
     // Connecting takes time, during which the client may have disconnected or the backend server
     // become ineligible.
-    const bool caller_gone = caller_->CheckCallerGone();
+    const bool caller_gone = caller_->PollCallerGone();
     const TimePoint now = Clock::now();
     const bool too_late = now >= WaitLimit();
     const bool permitted = !attempt_.backend->notice_state.limit() ||
@@ -231,9 +231,9 @@
         !Quarantined() && permitted && MayStillSend(state_, inbound_, choice, now);
     if (caller_gone || too_late || !may_send) {
       state_.pool().Release(address, std::move(checkout.connection));
-      if (caller_gone) co_return AttemptEnd::kCallerGone;
+      if (caller_gone) co_return AttemptOutcome::kCallerGone;
       last_code_ = ResultCode::kNoBackend;
-      co_return AttemptEnd::kSkipped;
+      co_return AttemptOutcome::kSkipped;
     }
     attempt_.connection = std::move(checkout.connection);
     AttemptDirectives directives = DirectivesFor(state_, plan_, choice, now);
@@ -241,7 +241,7 @@
     WatchBegin();
     attempt_.sent = now;
     attempt_.connection->StartRequest(Wire::MakeAttempt(caller_->request(), directives));
-    AttemptEnd end = co_await ReadAnswer();
+    AttemptOutcome end = co_await ReadAnswer();
     waiting_.reset();
     unanswered_.reset();
     running_.reset();
@@ -258,9 +258,9 @@
                                        [this] { Withdraw(ResultCode::kBackendUnreachable); });
     }
     if (!inbound_.generation || !attempt_.expected_weights) return;
-    const WeightsAsked asked{inbound_.generation->model, *attempt_.expected_weights};
-    state_.waiting_attempts().Add(waiting_, asked,
-                                  [this] { Withdraw(ResultCode::kWeightsPastLimit); });
+    const RequiredWeights asked{inbound_.generation->model, *attempt_.expected_weights};
+    state_.queued_attempts().Add(waiting_, asked,
+                                 [this] { Withdraw(ResultCode::kWeightsPastLimit); });
   }
 
   /// Cancels an attempt that has not started when its request is quarantined. An attempt that
@@ -280,7 +280,7 @@
 
   /// Reads response heads until one belongs to this request; responses to other requests are
   /// skipped.
-  net::awaitable<AttemptEnd> ReadAnswer() {
+  net::awaitable<AttemptOutcome> ReadAnswer() {
     relay_.StartAttempt();
     for (int foreign = 0; foreign <= OutboundConnection::kMostForeignAnswers; ++foreign) {
       const TimePoint limit = HeadDeadline(state_, plan_, facts_, Clock::now());
@@ -290,22 +290,22 @@
       if (attempt_.head.request == inbound_.id) co_return co_await ReadOwnAnswer();
       if (!IsStaleAnswer(attempt_.head)) break;
       std::string skipped;
-      fault = co_await attempt_.connection->ReadWholeBody(skipped, state_.limits().max_answer_bytes,
-                                                          plan_.answer_by);
+      fault = co_await attempt_.connection->ReadWholeBody(
+          skipped, state_.limits().max_response_bytes, plan_.answer_by);
       if (fault != ExchangeFault::kNone) co_return EndOf(fault);
     }
     last_code_ = ResultCode::kForeignAnswer;
     attempt_.connection->Cancel();
-    co_return AttemptEnd::kBroken;
+    co_return AttemptOutcome::kBroken;
   }
 
-  net::awaitable<AttemptEnd> ReadOwnAnswer() {
+  net::awaitable<AttemptOutcome> ReadOwnAnswer() {
     ApplyAnswerHead(state_, *attempt_.backend, inbound_, attempt_.head, attempt_.sent);
     attempt_.caller_head = Wire::MakeCallerHead(attempt_.connection->head());
     if (!IsAcceptable(attempt_.head)) {
       last_code_ = ResultCode::kForeignAnswer;
       attempt_.connection->Cancel();
-      co_return AttemptEnd::kBroken;
+      co_return AttemptOutcome::kBroken;
     }
     if (!attempt_.head.event_stream) {
       waiting_.reset();
@@ -315,28 +315,28 @@
                          IsSuccess(attempt_.head.status);
     if (streams) co_return co_await RelayStream();
     const ExchangeFault fault = co_await attempt_.connection->ReadWholeBody(
-        attempt_.body, state_.limits().max_answer_bytes, plan_.answer_by);
-    co_return fault == ExchangeFault::kNone ? AttemptEnd::kAnswered : EndOf(fault);
+        attempt_.body, state_.limits().max_response_bytes, plan_.answer_by);
+    co_return fault == ExchangeFault::kNone ? AttemptOutcome::kAnswered : EndOf(fault);
   }
 
-  net::awaitable<AttemptEnd> RelayStream() {
+  net::awaitable<AttemptOutcome> RelayStream() {
     std::string bytes;
     while (!attempt_.connection->BodyDone()) {
       bytes.clear();
-      const TimePoint limit = EventDeadline(plan_, facts_, relay_.passed_any(), Clock::now());
+      const TimePoint limit = EventDeadline(plan_, facts_, relay_.any_forwarded(), Clock::now());
       const ExchangeFault fault = co_await attempt_.connection->ReadBody(bytes, limit);
       const std::string events = relay_.Take(bytes);
       if (!events.empty()) {
         const bool passed = co_await PassOn(events);
-        if (!passed) co_return AttemptEnd::kCallerGone;
+        if (!passed) co_return AttemptOutcome::kCallerGone;
       }
       if (fault != ExchangeFault::kNone) co_return EndOf(fault);
     }
-    if (relay_.incomplete()) co_return AttemptEnd::kBroken;
+    if (relay_.incomplete()) co_return AttemptOutcome::kBroken;
     const bool begun = co_await BeginAnswer();
-    if (!begun) co_return AttemptEnd::kCallerGone;
+    if (!begun) co_return AttemptOutcome::kCallerGone;
     co_await caller_->EndStream();
-    co_return AttemptEnd::kStreamed;
+    co_return AttemptOutcome::kStreamed;
   }
 
   net::awaitable<bool> PassOn(std::string events) {
@@ -382,50 +382,50 @@
     return begun_ ? plan_.answer_by : std::min(plan_.answer_by, state_.last_answers());
   }
 
-  AttemptEnd EndOf(ExchangeFault fault) {
+  AttemptOutcome EndOf(ExchangeFault fault) {
     switch (fault) {
       case ExchangeFault::kNotSent:
         last_code_ = ResultCode::kBackendUnreachable;
-        return AttemptEnd::kNotSent;
+        return AttemptOutcome::kNotSent;
       case ExchangeFault::kTimedOut:
         last_code_ = ResultCode::kBackendTimeout;
-        return AttemptEnd::kTimedOut;
+        return AttemptOutcome::kTimedOut;
       case ExchangeFault::kCancelled:
-        if (caller_->caller_gone()) return AttemptEnd::kCallerGone;
+        if (caller_->caller_gone()) return AttemptOutcome::kCallerGone;
         if (attempt_.withdrawn) {
           last_code_ = *attempt_.withdrawn;
-          return AttemptEnd::kWithdrawn;
+          return AttemptOutcome::kWithdrawn;
         }
         if (Clock::now() < WaitLimit()) break;
         last_code_ = ResultCode::kBackendTimeout;
-        return AttemptEnd::kTimedOut;
+        return AttemptOutcome::kTimedOut;
       case ExchangeFault::kNone:
       case ExchangeFault::kBroken:
         break;
     }
     last_code_ = ResultCode::kBackendBroken;
-    return AttemptEnd::kBroken;
+    return AttemptOutcome::kBroken;
   }
 
-  NextStep Judge(AttemptEnd end) {
+  NextStep Judge(AttemptOutcome end) {
     facts_.end = end;
-    facts_.status = end == AttemptEnd::kAnswered ? attempt_.head.status : 0;
-    facts_.not_executed = end == AttemptEnd::kAnswered && attempt_.head.not_executed;
+    facts_.status = end == AttemptOutcome::kAnswered ? attempt_.head.status : 0;
+    facts_.not_executed = end == AttemptOutcome::kAnswered && attempt_.head.not_executed;
     facts_.has_signature = attempt_.head.has_signature;
-    if (end == AttemptEnd::kAnswered) last_code_ = ResultCode::kBackendRefused;
-    if (!ProvesNotRun(facts_)) {
+    if (end == AttemptOutcome::kAnswered) last_code_ = ResultCode::kBackendRefused;
+    if (!ProvesNotExecuted(facts_)) {
       facts_.may_have_run = true;
       ++facts_.runs;
     }
     const TimePoint now = Clock::now();
-    facts_.time_left = WaitLimit() - now > state_.limits().least_time;
+    facts_.time_left = WaitLimit() - now > state_.limits().min_attempt_time;
     RecordOutcome(state_, inbound_, *attempt_.backend, facts_, now);
     NoteForPoison(end, now);
     tried_.insert(attempt_.backend->entry.id);
     NextStep step = caller_->caller_gone() ? NextStep::kDone : DecideNext(facts_);
-    if (step == NextStep::kTryAgain && Quarantined()) step = StepOfQuarantined();
-    const bool arrived = end != AttemptEnd::kNotSent && end != AttemptEnd::kSkipped;
-    if (step == NextStep::kTryAgain && arrived && !state_.retries().Spend(plan_.service, now)) {
+    if (step == NextStep::kRetry && Quarantined()) step = StepOfQuarantined();
+    const bool arrived = end != AttemptOutcome::kNotSent && end != AttemptOutcome::kSkipped;
+    if (step == NextStep::kRetry && arrived && !state_.retries().Spend(plan_.service, now)) {
       record_.retry_budget_exhausted = true;
       step = StepWithoutRetry(facts_);
     }
@@ -437,20 +437,20 @@
 
   /// A complete response shows that the request did not crash the backend server. An unresponsive
   /// server may later be found to have crashed.
-  void NoteForPoison(AttemptEnd end, TimePoint now) {
+  void NoteForPoison(AttemptOutcome end, TimePoint now) {
     const bool unreachable = attempt_.withdrawn == ResultCode::kBackendUnreachable;
-    if (end == AttemptEnd::kTimedOut || unreachable) {
-      state_.poison().NoteBroken(*attempt_.backend, plan_.fingerprint, now);
+    if (end == AttemptOutcome::kTimedOut || unreachable) {
+      state_.poison().RecordInterruption(*attempt_.backend, plan_.fingerprint, now);
     }
-    const bool survived =
-        end == AttemptEnd::kStreamed || (end == AttemptEnd::kAnswered && !ProvesNotRun(facts_));
-    if (survived) state_.poison().NoteSurvived(plan_.fingerprint, now);
+    const bool survived = end == AttemptOutcome::kStreamed ||
+                          (end == AttemptOutcome::kAnswered && !ProvesNotExecuted(facts_));
+    if (survived) state_.poison().RecordCompletion(plan_.fingerprint, now);
   }
 
   net::awaitable<void> Finish(NextStep step) {
     switch (step) {
       case NextStep::kDone:
-      case NextStep::kTryAgain:
+      case NextStep::kRetry:
         record_.code = caller_->caller_gone() ? ResultCode::kCallerGone : ResultCode::kOk;
         break;
       case NextStep::kDeliver:
@@ -462,7 +462,7 @@
       case NextStep::kFail:
         co_await RefuseWith(MayHaveRunCode(last_code_), kDefaultRetryAfter);
         break;
-      case NextStep::kBreakOff:
+      case NextStep::kAbortStream:
         record_.code =
             last_code_ == ResultCode::kPoisonRequest ? last_code_ : ResultCode::kStreamLost;
         caller_->Abort();
@@ -488,7 +488,7 @@
 
   net::awaitable<void> Refuse(Failure failure, std::chrono::milliseconds retry_after) {
     record_.code = failure.code;
-    ResponseMessage answer = MakeRefusal(failure, inbound_.id, retry_after);
+    ResponseMessage answer = MakeErrorResponse(failure, inbound_.id, retry_after);
     record_.status = static_cast<int>(answer.result_int());
     record_.detail = failure.detail;
     co_await caller_->Send(std::move(answer), state_.shutting_down());
@@ -505,10 +505,10 @@
   InboundRequest inbound_;
   ExchangePlan plan_;
   EventRelay relay_;
-  AttemptFacts facts_;
+  RetryDecisionInput facts_;
   Attempt attempt_;
   std::optional<BackendLoad> load_;
-  std::optional<WaitingAttempts::Ticket> waiting_;
+  std::optional<QueuedAttempts::Ticket> waiting_;
   std::optional<UnansweredAttempts::Ticket> unanswered_;
   std::optional<PoisonGuard::Ticket> running_;
   std::set<BackendId> tried_;
--- a/libs/gateway/include/gateway/exchange_plan.h
+++ b/libs/gateway/include/gateway/exchange_plan.h
@@ -121,30 +121,30 @@
 
 /// Deadline for the head of the answer.
 TimePoint HeadDeadline(const GatewayState& state, const ExchangePlan& plan,
-                       const AttemptFacts& facts, TimePoint now);
+                       const RetryDecisionInput& facts, TimePoint now);
 
 /// Deadline for the next bytes of a stream.
-TimePoint EventDeadline(const ExchangePlan& plan, const AttemptFacts& facts, bool passed_any,
-                        TimePoint now);
+TimePoint EventDeadline(const ExchangePlan& plan, const RetryDecisionInput& facts,
+                        bool any_forwarded, TimePoint now);
 
 bool IsSuccess(int status);
 
 /// Whether the head can belong to a complete answer to this request.
-bool IsAcceptable(const AnswerHead& head);
+bool IsAcceptable(const BackendResponseHead& head);
 
 /// Whether the head belongs to the answer to an earlier request on the connection.
-bool IsStaleAnswer(const AnswerHead& head);
+bool IsStaleAnswer(const BackendResponseHead& head);
 
 /// Updates the backend server's state from an answer's head; the request was sent at `sent`.
 void ApplyAnswerHead(GatewayState& state, Backend& backend, const InboundRequest& request,
-                     const AnswerHead& head, TimePoint sent);
+                     const BackendResponseHead& head, TimePoint sent);
 
 /// Updates the backend server's state from an attempt's outcome.
 void RecordOutcome(const GatewayState& state, const InboundRequest& request, Backend& backend,
-                   const AttemptFacts& facts, TimePoint now);
+                   const RetryDecisionInput& facts, TimePoint now);
 
 /// The result code of a request that has not run.
-ResultCode NotRunCode(ResultCode last, const AttemptFacts& facts);
+ResultCode NotRunCode(ResultCode last, const RetryDecisionInput& facts);
 
 /// The result code of a request that may have run.
 ResultCode MayHaveRunCode(ResultCode last);
--- a/libs/gateway/include/gateway/uncounted_turns.h
+++ b/libs/gateway/include/gateway/fallback_slots.h
@@ -14,7 +14,7 @@
 /// For each slot of one second, each gateway decides by a hash whether it may send one request.
 /// This needs no messages: all gateways together use a fraction of the limit on average, and unused
 /// slots expire, so that no burst accumulates.
-class UncountedTurns {
+class FallbackSlots {
  public:
   static constexpr std::chrono::seconds kTurn{1};
   /// Fraction of the limit available to all gateways together. Peers in another partition may still
--- a/libs/gateway/include/gateway/gateway_state.h
+++ b/libs/gateway/include/gateway/gateway_state.h
@@ -14,7 +14,6 @@
 #include "base/ids.h"
 #include "gateway/admission.h"
 #include "gateway/backend_directory.h"
-#include "gateway/backend_words.h"
 #include "gateway/deferred_requests.h"
 #include "gateway/gateway_gossip.h"
 #include "gateway/load_report.h"
@@ -23,11 +22,12 @@
 #include "gateway/prefill_rate.h"
 #include "gateway/prefix_shares.h"
 #include "gateway/prompt_sizes.h"
-#include "gateway/retry_allowance.h"
+#include "gateway/pushback_registry.h"
+#include "gateway/queued_attempts.h"
 #include "gateway/routing_snapshot.h"
 #include "gateway/sampled_shares.h"
+#include "gateway/sliding_retry_budget.h"
 #include "gateway/unanswered_attempts.h"
-#include "gateway/waiting_attempts.h"
 #include "gateway/weights_history.h"
 #include "metrics/metrics.h"
 #include "net/connection_pool.h"
@@ -42,23 +42,23 @@
   std::optional<std::chrono::milliseconds> key_trust;
   /// How long after the announcement of newer weights requests may start on older ones.
   std::chrono::milliseconds older_weights{10'000};
-  RetryBound retries;
+  RetryBudgetLimits retries;
   QuotaTolerance quota_tolerance;
   LimitTolerance backend_limits;
   /// Maximum size of a buffered, non-streamed response.
-  std::size_t max_answer_bytes = std::size_t{16} << 20;
+  std::size_t max_response_bytes = std::size_t{16} << 20;
   /// Response time-out of a repeatable call in multiples of its objective, after which it is
   /// retried elsewhere.
-  double patience_objectives = 3;
+  double response_timeout_objectives = 3;
   /// Response time-out of resumable streams, which may be queued at the engine.
-  double stream_patience_objectives = 5;
-  AdmissionRule admission;
-  PoisonRule poison;
+  double stream_timeout_objectives = 5;
+  AdmissionOptions admission;
+  PoisonOptions poison;
   /// Minimum remaining time for another attempt.
-  std::chrono::milliseconds least_time{30};
+  std::chrono::milliseconds min_attempt_time{30};
 };
 
-static_assert(RetryAllowance::kLongestWay >= ConnectionPool::Options{}.connect_limit);
+static_assert(SlidingRetryBudget::kMaxConnectDelay >= ConnectionPool::Options{}.connect_limit);
 
 /// Runs on one executor; not thread-safe. Must outlive all exchanges.
 class GatewayState {
@@ -77,7 +77,7 @@
     words_.SetTolerance(limits.backend_limits);
     named_weights_.SetListener([this] { waiting_attempts_.Review(); });
     directory_.SetTerminationListener([this](const Backend& backend) {
-      poison_.NoteEnded(backend, "registration", Clock::now());
+      poison_.RecordCrash(backend, "registration", Clock::now());
     });
   }
 
@@ -102,7 +102,7 @@
   ConnectionPool& pool() { return pool_; }
   BackendDirectory& directory() { return directory_; }
   const BackendDirectory& directory() const { return directory_; }
-  RetryAllowance& retries() { return retries_; }
+  SlidingRetryBudget& retries() { return retries_; }
 
   const std::shared_ptr<const RoutingSnapshot>& snapshot() const { return snapshot_; }
 
@@ -131,7 +131,7 @@
   const TransferLinks& links() const { return links_; }
 
   /// Estimated content of a KV cache store, see StoredPart.
-  const EngineCache& KeptAt(LinkHash store) { return kept_[store]; }
+  const EngineCache& StoreContents(LinkHash store) { return kept_[store]; }
 
   /// Observed prefill speed of a service's engines.
   PrefillRateEstimator& reading_speed(const ServiceId& service);
@@ -143,33 +143,33 @@
 
   WeightsHistory& named_weights() { return named_weights_; }
   const WeightsHistory& named_weights() const { return named_weights_; }
-  WaitingAttempts& waiting_attempts() { return waiting_attempts_; }
+  QueuedAttempts& queued_attempts() { return waiting_attempts_; }
   UnansweredAttempts& unanswered_attempts() { return unanswered_attempts_; }
   PoisonGuard& poison() { return poison_; }
   const PoisonGuard& poison() const { return poison_; }
 
   /// Waits a few milliseconds until it is known whether a backend server with an interrupted
   /// attempt has crashed, see BackendProber::Confirm.
-  net::awaitable<void> ConfirmEnd(BackendPtr backend) {
+  net::awaitable<void> ConfirmCrash(BackendPtr backend) {
     if (confirm_end_) co_await confirm_end_(std::move(backend));
   }
-  using EndConfirmer = std::function<net::awaitable<void>(BackendPtr)>;
-  void SetEndConfirmer(EndConfirmer confirm) { confirm_end_ = std::move(confirm); }
+  using CrashConfirmer = std::function<net::awaitable<void>(BackendPtr)>;
+  void SetCrashConfirmer(CrashConfirmer confirm) { confirm_end_ = std::move(confirm); }
 
   /// Callbacks that acquire and refund quota.
-  struct QuotaAsker {
+  struct QuotaHandlers {
     std::function<net::awaitable<QuotaOutcome>(QuotaDemand)> acquire;
     std::function<void(const QuotaTicket&)> give_back;
   };
-  void SetQuotaAsker(QuotaAsker asker) { quota_asker_ = std::move(asker); }
+  void SetQuotaHandlers(QuotaHandlers asker) { quota_asker_ = std::move(asker); }
   net::awaitable<QuotaOutcome> AcquireQuota(QuotaDemand demand);
   /// Refunds quota acquired for a request that was not executed.
-  void GiveBackQuota(const QuotaTicket& ticket) {
+  void RefundQuota(const QuotaTicket& ticket) {
     if (quota_asker_.give_back) quota_asker_.give_back(ticket);
   }
 
-  BackendWords& words() { return words_; }
-  const BackendWords& words() const { return words_; }
+  PushbackRegistry& words() { return words_; }
+  const PushbackRegistry& words() const { return words_; }
 
   DeferredRequests& deferred_requests() { return deferred_requests_; }
 
@@ -190,14 +190,14 @@
   void SetLoadAsker(LoadAsker ask) { ask_loads_ = std::move(ask); }
 
   /// Queries peers and applies their reports. Requires asks_first().
-  net::awaitable<LoadAnswer> AskLoads(LoadQuestion question);
+  net::awaitable<LoadAnswer> QueryLoads(LoadQuestion question);
 
   /// Up to two engines that are estimated to have all these parts cached, those with the newest
   /// weights first. Only the gateway that tracks the prompt's home server knows all of them.
   std::vector<BackendHash> HoldersOf(const std::vector<SharedPart>& parts, TimePoint now) const;
 
   /// Load of this gateway's own requests at the backend server.
-  LoadUpdate OwnLoadAt(const Backend& backend, TimePoint now);
+  LoadUpdate LocalLoadAt(const Backend& backend, TimePoint now);
 
   /// The KV cache store at this link; null if the configuration has none.
   const KvCacheStore* StoreAt(LinkHash link) const;
@@ -208,24 +208,24 @@
   StoreReport ReportOn(const StoreQuery& store, const LoadQuestion& question, TimePoint now);
 
   /// Number of live peers that do not report their load.
-  double unheard_gateways() const {
+  double silent_gateways() const {
     if (asks_first()) return 0;
     return std::max(0.0, static_cast<double>(gateways_) - 1 - heard_gateways_);
   }
-  void SetHeardGateways(std::size_t heard) { heard_gateways_ = static_cast<double>(heard); }
+  void SetReportingGateways(std::size_t heard) { heard_gateways_ = static_cast<double>(heard); }
 
   /// Updates pending for the other gateways.
   const GossipItems& news() const { return news_; }
 
   /// Applies the placement of a request by this or another gateway.
-  void TakePlaced(const PlacementUpdate& placed, TimePoint now);
+  void ApplyPlacement(const PlacementUpdate& placed, TimePoint now);
   /// Applies a placement by this gateway and queues it for its peers.
-  void TellPlaced(PlacementUpdate placed);
-  /// `listener` is called after each TellPlaced.
-  void SetPlacedListener(std::function<void()> listener) { on_placed_ = std::move(listener); }
+  void PublishPlacement(PlacementUpdate placed);
+  /// `listener` is called after each PublishPlacement.
+  void SetPlacementListener(std::function<void()> listener) { on_placed_ = std::move(listener); }
 
   /// Reports a load change to the gateways that track the backend server.
-  void NoteLoadChange() {
+  void NotifyLoadChanged() {
     if (on_load_change_) on_load_change_();
   }
   void SetLoadListener(std::function<void()> listener) { on_load_change_ = std::move(listener); }
@@ -241,7 +241,7 @@
 
   /// Marks a backend server unreachable after a failed probe of this gateway, and prompts peers to
   /// probe it.
-  void NoteUnreachable(Backend& backend);
+  void ReportUnreachable(Backend& backend);
 
   /// Number of this gateway's requests there that the retry budget would not cover if all were
   /// interrupted at once.
@@ -255,12 +255,12 @@
   bool refusing_new() const { return refusing_new_; }
 
   /// Requests without a response at `moment` are failed then.
-  void SetLastAnswers(TimePoint moment) { last_answers_ = moment; }
+  void SetResponseDeadline(TimePoint moment) { last_answers_ = moment; }
   TimePoint last_answers() const { return last_answers_; }
 
   std::uint32_t in_flight() const { return in_flight_; }
-  void RequestBegan() { ++in_flight_; }
-  void RequestEnded() { --in_flight_; }
+  void OnRequestStarted() { ++in_flight_; }
+  void OnRequestFinished() { --in_flight_; }
 
   /// Sequence number for round-robin selection among equal backend servers.
   std::uint64_t NextSequence() { return ++sequence_; }
@@ -279,8 +279,8 @@
   Metrics& metrics_;
   ConnectionPool pool_;
   BackendDirectory directory_;
-  BackendWords words_{directory_};
-  RetryAllowance retries_;
+  PushbackRegistry words_{directory_};
+  SlidingRetryBudget retries_;
   std::shared_ptr<const RoutingSnapshot> snapshot_;
   TimePoint confirmed_at_{};
   PrefixShares prefix_shares_;
@@ -292,9 +292,9 @@
   PromptSizes prompt_sizes_;
   WeightsHistory named_weights_;
   PoisonGuard poison_;
-  EndConfirmer confirm_end_;
-  QuotaAsker quota_asker_;
-  WaitingAttempts waiting_attempts_;
+  CrashConfirmer confirm_end_;
+  QuotaHandlers quota_asker_;
+  QueuedAttempts waiting_attempts_;
   UnansweredAttempts unanswered_attempts_;
   DeferredRequests deferred_requests_;
   std::uint32_t gateways_ = 1;
--- a/libs/gateway/include/gateway/broken_attempts.h
+++ b/libs/gateway/include/gateway/interrupted_attempts.h
@@ -17,7 +17,7 @@
 /// An interrupted request alone is no evidence: connections break, and servers fail single
 /// responses. It counts once the backend server is found to have terminated, which may be detected
 /// before or after the interruption. Not thread-safe; the caller supplies the time.
-class BrokenAttempts {
+class InterruptedAttempts {
  public:
   /// Maximum time between an interruption and the crash that caused it: unless detected earlier, a
   /// crash is noticed when the registration expires after three heartbeats, 3.6 s.
@@ -32,7 +32,7 @@
   /// Records a crash of the backend server and returns the requests interrupted there.
   std::vector<RequestFingerprint> End(BackendHash backend, TimePoint now);
 
-  bool HasEnded(BackendHash backend) const { return ended_.contains(backend); }
+  bool HasCrashed(BackendHash backend) const { return ended_.contains(backend); }
   std::size_t size() const { return broken_.size(); }
 
  private:
--- a/libs/gateway/include/gateway/rests_of_others.h
+++ b/libs/gateway/include/gateway/peer_backoffs.h
@@ -14,7 +14,7 @@
 /// others. A server that has asked two gateways is assumed to reject all: with this information a
 /// large fleet tries it twice instead of once for each gateway. Not thread-safe; the caller
 /// supplies the time.
-class RestsOfOthers {
+class PeerBackoffs {
  public:
   void Note(std::uint64_t gateway, TimePoint until) {
     auto known = std::ranges::find(rests_, gateway, &Rest::gateway);
--- a/libs/gateway/include/gateway/poison_detector.h
+++ b/libs/gateway/include/gateway/poison_detector.h
@@ -23,7 +23,7 @@
 };
 
 /// Thresholds for treating a request as the cause of crashes.
-struct PoisonRule {
+struct PoisonOptions {
   /// Number of distinct backend servers that must crash while running it, without a success in
   /// between. An innocent request is retried on another server and may by chance share a second
   /// crash with the culprit: with 9 servers one in eight does, so two crashes prove nothing. 0
@@ -36,7 +36,7 @@
   /// hour.
   std::chrono::milliseconds quarantine{600'000};
   /// Maximum number of remembered fingerprints, about 200 bytes each; the oldest are evicted first.
-  std::size_t most_suspects = 10'000;
+  std::size_t max_suspects = 10'000;
 };
 
 /// Counts, for each fingerprint, the backend servers that crashed while running it. A successful
@@ -44,7 +44,7 @@
 /// thread-safe; the caller supplies the time.
 class PoisonDetector {
  public:
-  explicit PoisonDetector(PoisonRule rule) : rule_(rule) {}
+  explicit PoisonDetector(PoisonOptions rule) : rule_(rule) {}
 
   /// Records a crash of the backend server while it was running the request. Idempotent for the
   /// same crash. Returns whether this puts the request in quarantine.
@@ -52,7 +52,7 @@
 
   /// Clears all crashes counted so far, because a backend server completed the request. Returns
   /// whether there was anything to clear.
-  bool TakeSurvived(RequestFingerprint request, TimePoint now);
+  bool ClearSuspicion(RequestFingerprint request, TimePoint now);
 
   /// Applies a quarantine decided elsewhere that lasts for `left`. Returns whether it is new here.
   bool TakeQuarantine(RequestFingerprint request, Duration left, TimePoint now);
@@ -60,7 +60,7 @@
   Suspicion SuspicionOf(RequestFingerprint request, TimePoint now) const;
 
   /// Number of crashes that count against it now.
-  std::uint32_t EndsOf(RequestFingerprint request) const;
+  std::uint32_t CrashesOf(RequestFingerprint request) const;
 
   /// A quarantined request with the end of its quarantine.
   struct Quarantine {
@@ -84,7 +84,7 @@
   void MakeRoom(TimePoint now);
   TimePoint ForgottenAt(const Record& record) const;
 
-  PoisonRule rule_;
+  PoisonOptions rule_;
   std::unordered_map<RequestFingerprint, Record> records_;
 };
 
--- a/libs/gateway/include/gateway/poison_guard.h
+++ b/libs/gateway/include/gateway/poison_guard.h
@@ -11,11 +11,11 @@
 #include <vector>
 
 #include "gateway/backend_directory.h"
-#include "gateway/broken_attempts.h"
+#include "gateway/cancellable_attempts.h"
+#include "gateway/interrupted_attempts.h"
 #include "gateway/poison_detector.h"
-#include "gateway/poison_news.h"
-#include "gateway/recent_survivors.h"
-#include "gateway/withdrawable_attempts.h"
+#include "gateway/poison_update.h"
+#include "gateway/recent_successes.h"
 #include "metrics/metrics.h"
 
 namespace ridgehold {
@@ -26,10 +26,10 @@
 class PoisonGuard {
  public:
   /// Running attempts by the fingerprint of their request.
-  using Attempts = WithdrawableAttempts<RequestFingerprint>;
+  using Attempts = CancellableAttempts<RequestFingerprint>;
   using Ticket = Attempts::Ticket;
 
-  PoisonGuard(Metrics& metrics, PoisonRule rule) : metrics_(metrics), detector_(rule) {}
+  PoisonGuard(Metrics& metrics, PoisonOptions rule) : metrics_(metrics), detector_(rule) {}
 
   Suspicion SuspicionOf(RequestFingerprint request, TimePoint now) const {
     return detector_.SuspicionOf(request, now);
@@ -42,26 +42,26 @@
   }
 
   /// Records an attempt that was interrupted or got no response.
-  void NoteBroken(const Backend& backend, RequestFingerprint request, TimePoint now);
+  void RecordInterruption(const Backend& backend, RequestFingerprint request, TimePoint now);
   /// Records that the backend server has terminated; `evidence` is logged.
-  void NoteEnded(const Backend& backend, const char* evidence, TimePoint now);
-  bool HasEnded(const Backend& backend) const { return broken_.HasEnded(HashOf(backend)); }
+  void RecordCrash(const Backend& backend, const char* evidence, TimePoint now);
+  bool HasCrashed(const Backend& backend) const { return broken_.HasCrashed(HashOf(backend)); }
   /// Records that a backend server has completed the request.
-  void NoteSurvived(RequestFingerprint request, TimePoint now);
+  void RecordCompletion(RequestFingerprint request, TimePoint now);
 
   /// Applies an update from another gateway.
-  void Take(const PoisonNews& news, TimePoint now);
+  void Take(const PoisonUpdate& news, TimePoint now);
   /// Removes and returns the updates pending for the other gateways.
-  PoisonNews TakeNews();
+  PoisonUpdate TakeNews();
   /// `listener` is called when updates are pending.
-  void SetNewsListener(std::function<void()> listener) { on_news_ = std::move(listener); }
+  void SetUpdateListener(std::function<void()> listener) { on_news_ = std::move(listener); }
 
   /// Applies a quarantine read from the platform's store that lasts for `left`.
   void TakeStored(RequestFingerprint request, Duration left, TimePoint now);
   /// Quarantines decided by this gateway or its peers, without those read from the store.
   std::vector<PoisonDetector::Quarantine> Decided(TimePoint now);
   /// Whether this gateway decided the quarantine, and so writes it to the store without delay.
-  bool DecidedHere(RequestFingerprint request) const { return decided_here_.contains(request); }
+  bool DecidedLocally(RequestFingerprint request) const { return decided_here_.contains(request); }
   /// Removes and returns quarantines that ended early and must be deleted from the store.
   std::vector<RequestFingerprint> TakeReleased();
 
@@ -75,7 +75,7 @@
   std::size_t suspects() const { return detector_.suspects(); }
 
  private:
-  void NoteEnd(const EndNews& end, TimePoint now);
+  void NoteEnd(const CrashReport& end, TimePoint now);
   bool Forgive(RequestFingerprint request, TimePoint now);
   bool Lift(RequestFingerprint request, TimePoint now);
   void NoteReleased(RequestFingerprint request);
@@ -86,9 +86,9 @@
 
   Metrics& metrics_;
   PoisonDetector detector_;
-  BrokenAttempts broken_;
-  RecentSurvivors survivors_;
-  PoisonNews news_;
+  InterruptedAttempts broken_;
+  RecentSuccesses survivors_;
+  PoisonUpdate news_;
   std::function<void()> on_news_;
   Attempts running_;
   std::set<RequestFingerprint> decided_here_;
--- a/libs/gateway/include/gateway/poison_news.h
+++ b/libs/gateway/include/gateway/poison_update.h
@@ -10,16 +10,16 @@
 namespace ridgehold {
 
 /// A backend server crashed while it was running the request.
-struct EndNews {
+struct CrashReport {
   BackendHash backend = 0;
   RequestFingerprint request;
 
-  bool operator==(const EndNews&) const = default;
+  bool operator==(const CrashReport&) const = default;
 };
 
 /// Items are idempotent and may be sent any number of times.
-struct PoisonNews {
-  std::vector<EndNews> ends;
+struct PoisonUpdate {
+  std::vector<CrashReport> ends;
   std::vector<RequestFingerprint>
       survived;  ///< a backend server completed it, or an operator released it
   std::vector<RequestFingerprint> quarantined;  ///< newly quarantined
--- a/libs/gateway/include/gateway/backend_words.h
+++ b/libs/gateway/include/gateway/pushback_registry.h
@@ -10,34 +10,34 @@
 
 #include "base/ids.h"
 #include "gateway/backend_directory.h"
-#include "gateway/backend_news.h"
-#include "gateway/backend_notice.h"
+#include "gateway/backend_pushback.h"
+#include "gateway/pushback_update.h"
 #include "quota/quota_subject.h"
 #include "quota/request_limit.h"
 
 namespace ridgehold {
 
 /// Runs on one executor; the directory outlives it.
-class BackendWords {
+class PushbackRegistry {
  public:
-  explicit BackendWords(BackendDirectory& directory) : directory_(directory) {}
+  explicit PushbackRegistry(BackendDirectory& directory) : directory_(directory) {}
 
   /// Applies the pushback in the response to a request sent at `sent`.
-  void Note(Backend& backend, const BackendNotice& notice, TimePoint sent, TimePoint now);
+  void Note(Backend& backend, const BackendPushback& notice, TimePoint sent, TimePoint now);
 
   /// Applies updates from another gateway. Returns this gateway's state where the sender's is
   /// older.
-  BackendNewsList Take(const BackendNewsList& news, std::uint64_t gateway, TimePoint now);
+  PushbackUpdateList Take(const PushbackUpdateList& news, std::uint64_t gateway, TimePoint now);
 
   /// Removes and returns the pending updates.
-  BackendNewsList TakeNews() { return std::exchange(news_, {}); }
+  PushbackUpdateList TakeNews() { return std::exchange(news_, {}); }
   /// Returns the updates with current values; unregistered backend servers are omitted.
-  BackendNewsList Refreshed(const BackendNewsList& news, TimePoint now) const;
+  PushbackUpdateList Refreshed(const PushbackUpdateList& news, TimePoint now) const;
   /// `listener` is called when updates are pending.
-  void SetNewsListener(std::function<void()> listener) { on_news_ = std::move(listener); }
+  void SetUpdateListener(std::function<void()> listener) { on_news_ = std::move(listener); }
 
   /// Whether a limit was seen recently, so that quota holders are needed.
-  bool AnyLimit(TimePoint now) const { return now < counted_until_; }
+  bool HasRecentLimit(TimePoint now) const { return now < counted_until_; }
   /// `listener` is called when a limit is seen.
   void SetLimitListener(std::function<void()> listener) { on_limit_ = std::move(listener); }
 
@@ -51,14 +51,14 @@
   std::map<QuotaSubject, QuotaLimits> TakeNewTerms() { return std::exchange(new_terms_, {}); }
 
  private:
-  static BackendNews NewsOf(const Backend& backend, TimePoint now);
-  static void TakeRest(Backend& backend, const BackendNews& news, std::uint64_t gateway,
+  static PushbackUpdate NewsOf(const Backend& backend, TimePoint now);
+  static void TakeRest(Backend& backend, const PushbackUpdate& news, std::uint64_t gateway,
                        TimePoint now);
   void NoteChange(const Backend& backend, TimePoint now);
 
   BackendDirectory& directory_;
   LimitTolerance tolerance_;
-  BackendNewsList news_;
+  PushbackUpdateList news_;
   std::map<QuotaSubject, QuotaLimits> new_terms_;
   TimePoint counted_until_{};
   std::function<void()> on_news_;
--- a/libs/gateway/include/gateway/backend_word.h
+++ b/libs/gateway/include/gateway/pushback_state.h
@@ -6,9 +6,9 @@
 #include <optional>
 
 #include "base/ids.h"
-#include "gateway/backend_news.h"
-#include "gateway/backend_notice.h"
-#include "gateway/rests_of_others.h"
+#include "gateway/backend_pushback.h"
+#include "gateway/peer_backoffs.h"
+#include "gateway/pushback_update.h"
 
 namespace ridgehold {
 
@@ -19,29 +19,31 @@
 /// response shows whether the limit still applies.
 ///
 /// Not thread-safe; time comes in as a value.
-class BackendWord {
+class PushbackState {
  public:
   /// Applies the pushback in the response to a request sent at `sent`. Returns whether it must be
   /// shared with the other gateways.
-  bool TakeNotice(const BackendNotice& notice, TimePoint sent, TimePoint now);
+  bool TakeNotice(const BackendPushback& notice, TimePoint sent, TimePoint now);
 
   /// Applies an update from another gateway. Returns whether the sender's state is older than this
   /// one.
-  bool TakeNews(const BackendNews& news, TimePoint now);
-  BackendNews News(BackendHash backend) const;
+  bool TakeNews(const PushbackUpdate& news, TimePoint now);
+  PushbackUpdate News(BackendHash backend) const;
 
   /// Records that another gateway was asked to back off until `until`. Returns whether this
   /// deprioritizes the server and it was not deprioritized before.
-  bool NoteRestOfOther(std::uint64_t gateway, TimePoint until, TimePoint now);
+  bool RecordPeerBackoff(std::uint64_t gateway, TimePoint until, TimePoint now);
   /// Until then the server is chosen last: it has asked two or more peers to back off, and this
   /// gateway has received no response without a back-off since.
-  TimePoint doubted_until() const { return others_.TwoUntil(); }
+  TimePoint deprioritized_until() const { return others_.TwoUntil(); }
   /// Whether peers should be informed of the back-off requested from this gateway.
-  bool TellsRest(TimePoint now) const { return now < rest_until_ && now >= doubted_until(); }
+  bool ShouldShareBackoff(TimePoint now) const {
+    return now < rest_until_ && now >= deprioritized_until();
+  }
 
   /// Returns whether a broadcast to peers begins now. Returns false while one is in progress: it
   /// repeats the state current at that time, and some servers change their limit in each response.
-  bool BeginTelling(TimePoint now);
+  bool TryBeginBroadcast(TimePoint now);
 
   const std::optional<RequestRate>& limit() const { return limit_; }
   /// When the current limit period began, as known here; only meaningful while there is a limit.
@@ -57,12 +59,12 @@
   bool Bars(TimePoint now) const { return leaving_ || now < barred_until(); }
 
   /// Blocks the server until `until` because no permit is available before.
-  void NoteNoPermit(TimePoint until);
+  void BlockUntilPermit(TimePoint until);
 
   /// Returns whether a request may be sent without a permit when no quota holder can be reached,
-  /// see UncountedTurns.
-  bool TakeUncounted(BackendHash backend, std::uint64_t gateway, std::uint32_t gateways,
-                     TimePoint now);
+  /// see FallbackSlots.
+  bool TryUseFallbackSlot(BackendHash backend, std::uint64_t gateway, std::uint32_t gateways,
+                          TimePoint now);
 
  private:
   void SetLimit(const std::optional<RequestRate>& limit, TimePoint now);
@@ -75,7 +77,7 @@
   TimePoint told_from_{};
   TimePoint heard_at_{};
   TimePoint rest_until_{};
-  RestsOfOthers others_;
+  PeerBackoffs others_;
   TimePoint others_heard_at_{};
   TimePoint no_permit_until_{};
   std::int64_t uncounted_turn_ = -1;  ///< last slot that was used
--- a/libs/gateway/include/gateway/backend_news.h
+++ b/libs/gateway/include/gateway/pushback_update.h
@@ -14,7 +14,7 @@
 
 /// Latest pushback of one backend server. A gateway that learns of a change increments `number`, so
 /// that receivers can discard stale updates.
-struct BackendNews {
+struct PushbackUpdate {
   BackendHash backend = 0;
   std::uint64_t number = 0;
   std::optional<RequestRate> limit;  ///< empty: no limit applies
@@ -22,12 +22,12 @@
   /// Remaining back-off that the server requested from the sender of this update; empty: none.
   std::optional<std::chrono::milliseconds> rest_left{};
 
-  bool operator==(const BackendNews&) const = default;
+  bool operator==(const PushbackUpdate&) const = default;
 };
 
 /// Updates about several backend servers.
-struct BackendNewsList {
-  std::vector<BackendNews> items;
+struct PushbackUpdateList {
+  std::vector<PushbackUpdate> items;
 
   bool empty() const { return items.empty(); }
 };
--- a/libs/gateway/include/gateway/waiting_attempts.h
+++ b/libs/gateway/include/gateway/queued_attempts.h
@@ -7,15 +7,15 @@
 #include <optional>
 
 #include "base/ids.h"
+#include "gateway/cancellable_attempts.h"
 #include "gateway/weights_history.h"
-#include "gateway/withdrawable_attempts.h"
 #include "net/beast.h"
 #include "net/timer.h"
 
 namespace ridgehold {
 
 /// Weights that an attempt was sent for.
-struct WeightsAsked {
+struct RequiredWeights {
   ModelId model;
   WeightsNumber weights;
 };
@@ -24,20 +24,21 @@
 /// at the engine for some time after it was sent, and newer weights may be announced meanwhile;
 /// each attempt is therefore watched until its first event. Runs on one executor; must outlive its
 /// tickets.
-class WaitingAttempts {
+class QueuedAttempts {
  public:
-  using Attempts = WithdrawableAttempts<WeightsAsked>;
+  using Attempts = CancellableAttempts<RequiredWeights>;
   using Ticket = Attempts::Ticket;
 
   /// `limit` is how long after the announcement of newer weights a request may still start on the
   /// old ones.
-  WaitingAttempts(net::any_io_executor executor, const WeightsHistory& named,
-                  std::chrono::milliseconds limit)
+  QueuedAttempts(net::any_io_executor executor, const WeightsHistory& named,
+                 std::chrono::milliseconds limit)
       : named_(named), limit_(limit), timer_(executor) {}
 
   /// Watches an attempt queued at an engine with these weights while `ticket`, which is set here,
   /// lives.
-  void Add(std::optional<Ticket>& ticket, const WeightsAsked& asked, Attempts::Withdraw withdraw);
+  void Add(std::optional<Ticket>& ticket, const RequiredWeights& asked,
+           Attempts::Withdraw withdraw);
 
   /// Cancels attempts past their deadline. Call after weights were announced or the time of an
   /// announcement was corrected.
@@ -49,7 +50,7 @@
 
  private:
   /// Deadline for the attempt to start; empty while its weights are the newest.
-  std::optional<TimePoint> BoundOf(const WeightsAsked& asked) const;
+  std::optional<TimePoint> BoundOf(const RequiredWeights& asked) const;
   /// Arms the timer unless it expires earlier already.
   void ArmFor(TimePoint bound);
 
--- a/libs/gateway/include/gateway/recent_survivors.h
+++ b/libs/gateway/include/gateway/recent_successes.h
@@ -17,7 +17,7 @@
 /// taken for the cause: with a tenth of all requests being such copies, one in sixteen of them was
 /// rejected. A gateway that has recently seen the request succeed prevents this. Not thread-safe;
 /// the caller supplies the time.
-class RecentSurvivors {
+class RecentSuccesses {
  public:
   /// Retention period. For this long a request is still trusted after it begins to crash servers,
   /// for example because of new weights or a new release.
--- a/libs/gateway/include/gateway/request_log.h
+++ b/libs/gateway/include/gateway/request_log.h
@@ -87,6 +87,6 @@
 
 /// Writes the log line of a failed attempt and updates its metrics.
 void LogAttempt(GatewayState& state, const RequestRecord& record, const Backend& backend,
-                const AttemptFacts& facts, ResultCode code, NextStep step);
+                const RetryDecisionInput& facts, ResultCode code, NextStep step);
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/retry_allowance.h
+++ b/libs/gateway/include/gateway/sliding_retry_budget.h
@@ -13,7 +13,7 @@
 namespace ridgehold {
 
 /// Limit on retries of all gateways together: at most `ratio` * requests + `slack` in any window.
-struct RetryBound {
+struct RetryBudgetLimits {
   double ratio = 0.1;
   double slack = 5;
   std::chrono::milliseconds window{10'000};
@@ -24,19 +24,19 @@
 /// `ratio` of its own requests. A burst of retries may thus use the budget earned by the last
 /// window's requests. Approximations err towards fewer retries: requests are counted over less than
 /// the window, retries over more. Not thread-safe; the caller supplies the time.
-class RetryAllowance {
+class SlidingRetryBudget {
  public:
   /// Fraction of the limit that is used; the remainder covers unknown gateways.
-  static constexpr double kUsedPart = 0.8;
+  static constexpr double kUsedFraction = 0.8;
 
   /// Maximum time between the grant of a retry and its arrival, which includes connecting, see
   /// ConnectionPool::Options::connect_limit.
-  static constexpr std::chrono::milliseconds kLongestWay{700};
+  static constexpr std::chrono::milliseconds kMaxConnectDelay{700};
 
-  explicit RetryAllowance(RetryBound bound) : bound_(bound) {}
+  explicit SlidingRetryBudget(RetryBudgetLimits bound) : bound_(bound) {}
 
   /// Another bound holds from now on; existing counts are kept.
-  void SetBound(RetryBound bound) { bound_ = bound; }
+  void SetBound(RetryBudgetLimits bound) { bound_ = bound; }
 
   /// Sets the number of live gateways. An increase divides the slack further at once. A decrease
   /// takes effect only after a window: until then retries of departed gateways still count, and
@@ -87,9 +87,9 @@
   std::int64_t StepAt(TimePoint now) const;
 
   /// Retries granted within this span may arrive in the same window as one granted now.
-  std::chrono::milliseconds CountedSpan() const { return bound_.window + kLongestWay; }
+  std::chrono::milliseconds CountedSpan() const { return bound_.window + kMaxConnectDelay; }
 
-  RetryBound bound_;
+  RetryBudgetLimits bound_;
   std::deque<GatewayCount> gateway_counts_;  ///< each smaller than the one before
   std::map<ServiceId, Counters> counters_;
 };
--- a/libs/gateway/include/gateway/unanswered_attempts.h
+++ b/libs/gateway/include/gateway/unanswered_attempts.h
@@ -3,17 +3,17 @@
 #pragma once
 
 #include "base/ids.h"
-#include "gateway/withdrawable_attempts.h"
+#include "gateway/cancellable_attempts.h"
 
 namespace ridgehold {
 
 /// Requests at an unresponsive backend server that may be executed again are retried elsewhere as
 /// soon as a probe fails, after about 0.9 s, instead of after their response time-out of several
 /// objectives.
-class UnansweredAttempts : public WithdrawableAttempts<BackendId> {
+class UnansweredAttempts : public CancellableAttempts<BackendId> {
  public:
-  void WithdrawFrom(const BackendId& backend) {
-    WithdrawIf([&](const BackendId& at) { return at == backend; });
+  void CancelAt(const BackendId& backend) {
+    CancelIf([&](const BackendId& at) { return at == backend; });
   }
 };
 
--- a/libs/gateway/include/gateway/wire_format.h
+++ b/libs/gateway/include/gateway/wire_format.h
@@ -24,7 +24,7 @@
   { Wire::ReadRequest(request_head, now) } -> std::same_as<Result<InboundRequest>>;
   /// The caller's request as it is sent to a backend server.
   { Wire::MakeAttempt(request, directives) } -> std::same_as<RequestMessage>;
-  { Wire::ReadAnswerHead(answer_head) } -> std::same_as<AnswerHead>;
+  { Wire::ReadAnswerHead(answer_head) } -> std::same_as<BackendResponseHead>;
   /// The header fields of a backend server's answer that are forwarded to the caller.
   { Wire::MakeCallerHead(answer_head) } -> std::same_as<ResponseHead>;
 };
--- a/libs/gateway/src/attempt_policy.cc
+++ b/libs/gateway/src/attempt_policy.cc
@@ -18,45 +18,45 @@
 }
 
 /// Whether another backend server may give a better response.
-bool IsWorthRetrying(const AttemptFacts& facts) {
-  if (facts.end != AttemptEnd::kAnswered) return true;
+bool IsWorthRetrying(const RetryDecisionInput& facts) {
+  if (facts.end != AttemptOutcome::kAnswered) return true;
   return facts.status >= kFirstServerError || ImpliesNotExecuted(facts.status);
 }
 
 /// Whether the response may be forwarded unchanged. A status that implies "not executed" is never
 /// forwarded here; it is reported only if that is proved for all attempts.
-bool IsDeliverable(const AttemptFacts& facts) {
-  if (facts.end != AttemptEnd::kAnswered || facts.stream_begun) return false;
+bool IsDeliverable(const RetryDecisionInput& facts) {
+  if (facts.end != AttemptOutcome::kAnswered || facts.stream_begun) return false;
   if (facts.status < kFirstError) return facts.has_signature;
   return !ImpliesNotExecuted(facts.status);
 }
 
 }  // namespace
 
-bool ProvesNotRun(const AttemptFacts& facts) {
-  if (facts.end == AttemptEnd::kNotSent || facts.end == AttemptEnd::kSkipped) return true;
-  return facts.end == AttemptEnd::kAnswered && (facts.not_executed || facts.status == kMisdirected);
+bool ProvesNotExecuted(const RetryDecisionInput& facts) {
+  if (facts.end == AttemptOutcome::kNotSent || facts.end == AttemptOutcome::kSkipped) return true;
+  return facts.end == AttemptOutcome::kAnswered &&
+         (facts.not_executed || facts.status == kMisdirected);
 }
 
-NextStep DecideNext(const AttemptFacts& facts) {
-  if (facts.end == AttemptEnd::kStreamed || facts.end == AttemptEnd::kCallerGone) {
+NextStep DecideNext(const RetryDecisionInput& facts) {
+  if (facts.end == AttemptOutcome::kStreamed || facts.end == AttemptOutcome::kCallerGone) {
     return NextStep::kDone;
   }
-  const bool not_run = ProvesNotRun(facts);
+  const bool not_run = ProvesNotExecuted(facts);
   const bool bad_request = not_run && facts.status == kBadRequest;
   const bool final_answer = IsDeliverable(facts) && !IsWorthRetrying(facts);
   if (final_answer && !not_run) return NextStep::kDeliver;
   if (bad_request && IsDeliverable(facts)) return NextStep::kDeliver;
   const bool runs_left = facts.runs < facts.max_runs && (facts.may_repeat || !facts.may_have_run);
-  const bool sends_left = facts.sends < facts.max_runs + kMostRefusedSends;
+  const bool sends_left = facts.sends < facts.max_runs + kMaxExtraSends;
   const bool may_retry = facts.time_left && sends_left && runs_left;
-  if (may_retry && (not_run || facts.may_repeat) && IsWorthRetrying(facts))
-    return NextStep::kTryAgain;
+  if (may_retry && (not_run || facts.may_repeat) && IsWorthRetrying(facts)) return NextStep::kRetry;
   return StepWithoutRetry(facts);
 }
 
-NextStep StepWithoutRetry(const AttemptFacts& facts) {
-  if (facts.stream_begun) return NextStep::kBreakOff;
+NextStep StepWithoutRetry(const RetryDecisionInput& facts) {
+  if (facts.stream_begun) return NextStep::kAbortStream;
   if (!facts.may_have_run) return NextStep::kRefuse;
   return IsDeliverable(facts) ? NextStep::kDeliver : NextStep::kFail;
 }
--- a/libs/gateway/src/backend_directory.cc
+++ b/libs/gateway/src/backend_directory.cc
@@ -60,7 +60,7 @@
 }
 
 void BackendDirectory::SaveNotice(const Backend& backend) {
-  const BackendWord& notice = backend.notice_state;
+  const PushbackState& notice = backend.notice_state;
   const bool has_content = notice.limit() || notice.leaving() || notice.rest_until() != TimePoint();
   if (!has_content) return;
   if (saved_notices_.size() >= kMaxRememberedStarts) saved_notices_.clear();
--- a/libs/gateway/src/backend_load.cc
+++ b/libs/gateway/src/backend_load.cc
@@ -32,17 +32,17 @@
   ++backend_->in_flight;
   backend_->unprefilled_tokens += unprefilled_tokens_;
   if (unrepeatable_) ++backend_->unrepeatable;
-  state_.NoteLoadChange();
+  state_.NotifyLoadChanged();
   if (!plan.chain) return;
   waiting_entry_ = backend_->waiting_since.insert(Clock::now());
-  state.TellPlaced(PlacementUpdateOf(plan, request, choice));
+  state.PublishPlacement(PlacementUpdateOf(plan, request, choice));
 }
 
 BackendLoad::~BackendLoad() {
   EndPrefill();
   --backend_->in_flight;
   if (unrepeatable_) --backend_->unrepeatable;
-  state_.NoteLoadChange();
+  state_.NotifyLoadChanged();
 }
 
 void BackendLoad::OnFirstEvent(TimePoint now) {
@@ -55,7 +55,7 @@
   }
   EndPrefill();
   BackendDirectory::RecordFirstEvent(*backend_, waited, now);
-  state_.NoteLoadChange();
+  state_.NotifyLoadChanged();
 }
 
 void BackendLoad::EndPrefill() {
--- a/libs/gateway/src/backend_permit.cc
+++ b/libs/gateway/src/backend_permit.cc
@@ -5,8 +5,8 @@
 #include <chrono>
 #include <utility>
 
+#include "gateway/fallback_slots.h"
 #include "gateway/gateway_state.h"
-#include "gateway/uncounted_turns.h"
 
 namespace ridgehold {
 namespace {
@@ -21,31 +21,33 @@
 constexpr std::chrono::milliseconds kMinBlockTime{5};
 
 /// Whether a request may be sent while no quota holder has answered.
-bool MayUseFallback(Backend& backend, bool asked, const PermitAsker& requester, TimePoint now) {
-  BackendWord& word = backend.notice_state;
+bool MayUseFallback(Backend& backend, bool asked, const PermitRequester& requester, TimePoint now) {
+  PushbackState& word = backend.notice_state;
   if (!asked && now - word.limited_since() < kHolderTakeoverTime) return true;
-  if (word.TakeUncounted(HashOf(backend), requester.gateway, requester.gateways, now)) return true;
-  word.NoteNoPermit(std::min<TimePoint>(UncountedTurns::NextTurn(now), now + kHolderRetryInterval));
+  if (word.TryUseFallbackSlot(HashOf(backend), requester.gateway, requester.gateways, now))
+    return true;
+  word.BlockUntilPermit(
+      std::min<TimePoint>(FallbackSlots::NextTurn(now), now + kHolderRetryInterval));
   return false;
 }
 
 }  // namespace
 
-PermitVerdict JudgePermit(Backend& backend, const QuotaOutcome& outcome,
-                          const PermitAsker& requester, TimePoint now) {
+PermitVerdict ResolvePermit(Backend& backend, const QuotaOutcome& outcome,
+                            const PermitRequester& requester, TimePoint now) {
   switch (outcome.verdict) {
     case QuotaVerdict::kGranted:
       return PermitVerdict::kGranted;
     case QuotaVerdict::kOverQuota:
     case QuotaVerdict::kTooLarge:
-      backend.notice_state.NoteNoPermit(now +
-                                        std::max<Duration>(outcome.retry_after, kMinBlockTime));
+      backend.notice_state.BlockUntilPermit(now +
+                                            std::max<Duration>(outcome.retry_after, kMinBlockTime));
       return PermitVerdict::kRefused;
     case QuotaVerdict::kNotHolder:
       break;
   }
   const bool may_send = MayUseFallback(backend, outcome.messages_sent > 0, requester, now);
-  return may_send ? PermitVerdict::kUncounted : PermitVerdict::kNobodyCounts;
+  return may_send ? PermitVerdict::kFallback : PermitVerdict::kNoHolder;
 }
 
 net::awaitable<Permit> AcquirePermit(GatewayState& state, BackendPtr backend) {
@@ -59,8 +61,8 @@
   const QuotaOutcome outcome = co_await state.AcquireQuota(std::move(demand));
   const TimePoint now = Clock::now();
   permit.took = std::chrono::duration_cast<Duration>(now - start);
-  const PermitAsker requester{state.gateway_hash(), state.gateways()};
-  permit.verdict = JudgePermit(*backend, outcome, requester, now);
+  const PermitRequester requester{state.gateway_hash(), state.gateways()};
+  permit.verdict = ResolvePermit(*backend, outcome, requester, now);
   if (permit.verdict == PermitVerdict::kGranted) permit.ticket = outcome.ticket;
   state.metrics()
       .GetCounter("ridgehold_permits", "verdict=\"" + std::string(NameOf(permit.verdict)) + "\"")
--- a/libs/gateway/src/backend_prober.cc
+++ b/libs/gateway/src/backend_prober.cc
@@ -25,7 +25,7 @@
 
 void BackendProber::StartProbes(TimePoint now) {
   for (const auto& [id, backend] : state_.directory().all()) {
-    if (running_ >= options_.most_at_once) return;
+    if (running_ >= options_.max_concurrent) return;
     if (IsDue(*backend, now)) StartProbe(backend);
   }
 }
@@ -40,13 +40,13 @@
   const TimePoint start = Clock::now();
   if (!options_.enabled) co_return;
   const bool known =
-      state_.poison().HasEnded(*backend) || start - backend->probed_at < options_.pause;
-  if (!known && !backend->probing && running_ < options_.most_at_once) StartProbe(backend);
+      state_.poison().HasCrashed(*backend) || start - backend->probed_at < options_.pause;
+  if (!known && !backend->probing && running_ < options_.max_concurrent) StartProbe(backend);
   Timer timer(state_.executor());
   while (backend->probing && Clock::now() - start < options_.confirm_limit) {
     co_await WaitFor(timer, kConfirmPollInterval);
   }
-  if (state_.poison().HasEnded(*backend)) co_await WaitFor(timer, options_.word_of_others);
+  if (state_.poison().HasCrashed(*backend)) co_await WaitFor(timer, options_.peer_report_delay);
 }
 
 bool BackendProber::NothingOpen(const Backend& backend) {
@@ -63,7 +63,7 @@
   if (backend.waiting_since.empty() || !state_.snapshot()) return false;
   const Duration objective = state_.snapshot()->ShortestObjective(backend.entry.service);
   if (objective <= Duration::zero()) return false;
-  return now - *backend.waiting_since.begin() >= options_.suspicious_objectives * objective;
+  return now - *backend.waiting_since.begin() >= options_.suspect_after_objectives * objective;
 }
 
 net::awaitable<void> BackendProber::Probe(BackendPtr backend) {
@@ -77,7 +77,7 @@
   backend->probing = false;
   const bool reached = fault == ExchangeFault::kNone;
   if (connection->refused() && NothingOpen(*backend)) {
-    state_.poison().NoteEnded(*backend, "refused", Clock::now());
+    state_.poison().RecordCrash(*backend, "refused", Clock::now());
   }
   if (reached == backend->reachable && !backend->needs_probe) co_return;
   const bool changed = reached != backend->reachable;
@@ -85,7 +85,7 @@
     BackendDirectory::RecordReachable(*backend);
   } else {
     state_.pool().Forget(backend->entry.address);  // idle pooled connections are broken as well
-    state_.NoteUnreachable(*backend);
+    state_.ReportUnreachable(*backend);
   }
   if (!changed) co_return;
   state_.metrics().GetCounter("ridgehold_backend_reachability_changes").Add();
--- a/libs/gateway/src/backend_search.cc
+++ b/libs/gateway/src/backend_search.cc
@@ -41,7 +41,7 @@
   const auto pause = state_.asks_first() ? DeferredRequests::kAskingLook : DeferredRequests::kLook;
   Outcome outcome = Outcome::kWait;
   while (outcome == Outcome::kWait && !request_.abandoned() &&
-         Clock::now() + state_.limits().least_time < request_.wait_limit()) {
+         Clock::now() + state_.limits().min_attempt_time < request_.wait_limit()) {
     co_await WaitFor(timer, pause);
     if (MayRetry(ticket, choice)) outcome = co_await TryOnce(choice);
   }
@@ -74,14 +74,14 @@
                              const std::optional<BackendChoice>& choice) const {
   if (!choice) return ticket.MayLook() || !HasCapacitySoon();
   const AdmissionQuery place = AdmissionQueryFor(request_.plan, *choice, Clock::now());
-  if (!Admission::InTime(place)) ticket.SetLate();
-  return ticket.MayLook() || AdmissionRule().WaitedEnough(place);
+  if (!Admission::InTime(place)) ticket.MarkLate();
+  return ticket.MayLook() || AdmissionOptions().WaitExpired(place);
 }
 
 bool BackendSearch::MaySend(const BackendChoice& choice) const {
   if (!request_.plan.chain || stream_begun_) return true;
   const AdmissionQuery query = AdmissionQueryFor(request_.plan, choice, Clock::now());
-  return AdmissionRule().MaySend(query);
+  return AdmissionOptions().MaySend(query);
 }
 
 std::optional<TimePoint> BackendSearch::NextCapacity() const {
--- a/libs/gateway/src/caller_connection.cc
+++ b/libs/gateway/src/caller_connection.cc
@@ -142,7 +142,7 @@
 void CallerConnection::OnReadable(const ErrorCode& error, std::uint64_t watch) {
   if (!watching_ || watch != watch_) return;
   // The bytes belong to the next request, which is read after this one is answered.
-  if (!error && !CheckCallerGone()) return WatchAgainLater(watch);
+  if (!error && !PollCallerGone()) return WatchAgainLater(watch);
   watching_ = false;
   caller_gone_ = true;
   const auto on_gone = std::exchange(on_gone_, nullptr);
@@ -157,7 +157,7 @@
   });
 }
 
-bool CallerConnection::CheckCallerGone() {
+bool CallerConnection::PollCallerGone() {
   caller_gone_ = caller_gone_ || PeerHasClosed(socket_.native_handle());
   return caller_gone_;
 }
--- a/libs/gateway/src/deferred_requests.cc
+++ b/libs/gateway/src/deferred_requests.cc
@@ -12,7 +12,7 @@
 
 DeferredRequests::Ticket::~Ticket() { line_.places_.erase(place_); }
 
-void DeferredRequests::Ticket::SetLate() {
+void DeferredRequests::Ticket::MarkLate() {
   if (place_.late) return;
   line_.places_.erase(place_);
   place_.late = true;
--- a/libs/gateway/src/refusal.cc
+++ b/libs/gateway/src/error_response.cc
@@ -1,4 +1,4 @@
-#include "gateway/refusal.h"
+#include "gateway/error_response.h"
 
 #include <fmt/format.h>
 
@@ -6,8 +6,8 @@
 
 namespace ridgehold {
 
-ResponseMessage MakeRefusal(const Failure& failure, const RequestId& request,
-                            std::chrono::milliseconds retry_after) {
+ResponseMessage MakeErrorResponse(const Failure& failure, const RequestId& request,
+                                  std::chrono::milliseconds retry_after) {
   const ResultCodeInfo& info = Describe(failure.code);
   ResponseMessage response(static_cast<http::status>(info.http_status), 11);
   response.set(http::field::content_type, "application/json");
--- a/libs/gateway/src/exchange_plan.cc
+++ b/libs/gateway/src/exchange_plan.cc
@@ -72,7 +72,7 @@
 /// How long a backend server gets no requests after it refused one.
 std::chrono::milliseconds BackoffAfterRefusal(const GatewayState& state,
                                               const InboundRequest& request, const Backend& backend,
-                                              const AttemptFacts& facts) {
+                                              const RetryDecisionInput& facts) {
   if (facts.status == kMisdirected) return BackendDirectory::kInitialBackoff;
   if (!request.generation) return kRefusalBackoff;
   const ModelId& model = request.generation->model;
@@ -190,7 +190,7 @@
   // If a smaller fraction of the backend servers had no rate limit, they could not carry all small
   // requests.
   constexpr double kMinUnlimitedFraction = 0.1;
-  const bool small = plan.chain && state.words().AnyLimit(now) &&
+  const bool small = plan.chain && state.words().HasRecentLimit(now) &&
                      state.prompt_sizes().IsSmall(plan.service, plan.chain->prompt_tokens);
   if (!small) return false;
   const std::vector<BackendPtr> usable = state.directory().Usable(plan.service, now);
@@ -252,7 +252,7 @@
                           const LoadAnswer* answers, TimePoint now) {
   PlacementQuery query;
   query.own_zone = state.zone();
-  query.unheard_gateway_ratio = state.unheard_gateways();
+  query.unheard_gateway_ratio = state.silent_gateways();
   query.tie_break = state.NextSequence();
   query.now = now;
   query.answers = answers;
@@ -265,7 +265,7 @@
     if (const KvCacheStore* store = KvStoreForPrompt(plan)) {
       const LinkHash link = LinkOf(store->address);
       const double token_ms = LinkMsPerToken(plan, store->link_mbps);
-      query.store = KvStoreView{store->zone, link, token_ms, &state.KeptAt(link)};
+      query.store = KvStoreView{store->zone, link, token_ms, &state.StoreContents(link)};
     }
     // When loads are queried, only a few gateways know of a first part, so the gateways would
     // compute different segments.
@@ -347,35 +347,35 @@
 }
 
 TimePoint HeadDeadline(const GatewayState& state, const ExchangePlan& plan,
-                       const AttemptFacts& facts, TimePoint now) {
+                       const RetryDecisionInput& facts, TimePoint now) {
   const bool another_run = facts.may_repeat && facts.runs + 1 < facts.max_runs;
   if (!another_run) return plan.answer_by;
   const bool stream = plan.route->kind == RouteKind::kStream;
-  const double objectives =
-      stream ? state.limits().stream_patience_objectives : state.limits().patience_objectives;
+  const double objectives = stream ? state.limits().stream_timeout_objectives
+                                   : state.limits().response_timeout_objectives;
   const auto patience = std::chrono::milliseconds(static_cast<std::int64_t>(
       static_cast<double>(plan.route->latency_objective.count()) * objectives));
   return std::min<TimePoint>(plan.answer_by, now + patience);
 }
 
-TimePoint EventDeadline(const ExchangePlan& plan, const AttemptFacts& facts, bool passed_any,
-                        TimePoint now) {
+TimePoint EventDeadline(const ExchangePlan& plan, const RetryDecisionInput& facts,
+                        bool any_forwarded, TimePoint now) {
   const bool another_run = facts.may_repeat && facts.runs + 1 < facts.max_runs;
-  if (!another_run || !passed_any) return plan.answer_by;
+  if (!another_run || !any_forwarded) return plan.answer_by;
   return std::min<TimePoint>(plan.answer_by, now + kMaxStreamSilence);
 }
 
 bool IsSuccess(int status) { return status >= kFirstSuccess && status < kFirstRedirect; }
 
-bool IsAcceptable(const AnswerHead& head) {
+bool IsAcceptable(const BackendResponseHead& head) {
   if (head.has_content_coding) return false;
   return !IsSuccess(head.status) || head.has_signature;
 }
 
-bool IsStaleAnswer(const AnswerHead& head) { return !head.request.value().empty(); }
+bool IsStaleAnswer(const BackendResponseHead& head) { return !head.request.value().empty(); }
 
 void ApplyAnswerHead(GatewayState& state, Backend& backend, const InboundRequest& request,
-                     const AnswerHead& head, TimePoint sent) {
+                     const BackendResponseHead& head, TimePoint sent) {
   // A request is misdirected if another incarnation has answered it. The notice is then about that
   // incarnation and not about this one.
   if (head.status != kMisdirected) state.words().Note(backend, head.notice, sent, Clock::now());
@@ -384,22 +384,22 @@
 }
 
 void RecordOutcome(const GatewayState& state, const InboundRequest& request, Backend& backend,
-                   const AttemptFacts& facts, TimePoint now) {
+                   const RetryDecisionInput& facts, TimePoint now) {
   switch (facts.end) {
-    case AttemptEnd::kStreamed:
+    case AttemptOutcome::kStreamed:
       return BackendDirectory::RecordSuccess(backend);
-    case AttemptEnd::kAnswered:
+    case AttemptOutcome::kAnswered:
       break;
-    case AttemptEnd::kNotSent:
-    case AttemptEnd::kBroken:
-    case AttemptEnd::kTimedOut:
+    case AttemptOutcome::kNotSent:
+    case AttemptOutcome::kBroken:
+    case AttemptOutcome::kTimedOut:
       return BackendDirectory::RecordFailure(backend, now);
-    case AttemptEnd::kCallerGone:
-    case AttemptEnd::kSkipped:
-    case AttemptEnd::kWithdrawn:
+    case AttemptOutcome::kCallerGone:
+    case AttemptOutcome::kSkipped:
+    case AttemptOutcome::kWithdrawn:
       return;
   }
-  if (ProvesNotRun(facts)) {
+  if (ProvesNotExecuted(facts)) {
     const auto backoff = BackoffAfterRefusal(state, request, backend, facts);
     backend.avoid_until = std::max<TimePoint>(backend.avoid_until, now + backoff);
     return;
@@ -408,7 +408,7 @@
   BackendDirectory::RecordSuccess(backend);
 }
 
-ResultCode NotRunCode(ResultCode last, const AttemptFacts& facts) {
+ResultCode NotRunCode(ResultCode last, const RetryDecisionInput& facts) {
   if (!facts.time_left) return ResultCode::kNotStartedInTime;
   return Describe(last).execution == Execution::kNotRun ? last : ResultCode::kNoBackend;
 }
--- a/libs/gateway/src/uncounted_turns.cc
+++ b/libs/gateway/src/fallback_slots.cc
@@ -1,4 +1,4 @@
-#include "gateway/uncounted_turns.h"
+#include "gateway/fallback_slots.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -8,7 +8,7 @@
 
 namespace ridgehold {
 
-bool UncountedTurns::IsDrawn(const Draw& draw, std::int64_t turn) {
+bool FallbackSlots::IsDrawn(const Draw& draw, std::int64_t turn) {
   const std::array<std::uint64_t, 3> what = {draw.backend, draw.gateway,
                                              static_cast<std::uint64_t>(turn)};
   constexpr double kHashes = 18'446'744'073'709'551'616.0;  // 2^64
--- a/libs/gateway/src/gateway_state.cc
+++ b/libs/gateway/src/gateway_state.cc
@@ -64,7 +64,7 @@
   return hashes;
 }
 
-LoadUpdate GatewayState::OwnLoadAt(const Backend& backend, TimePoint now) {
+LoadUpdate GatewayState::LocalLoadAt(const Backend& backend, TimePoint now) {
   return {HashOf(backend), backend.in_flight,
           static_cast<std::uint32_t>(std::max(0.0, backend.unprefilled_tokens)),
           backend.unrepeatable, Uncovered(backend, now)};
@@ -79,7 +79,7 @@
   kept_[placed.saved_to].Use(parts, 0, store != nullptr ? store->cache_tokens : 0, now);
 }
 
-void GatewayState::TakePlaced(const PlacementUpdate& placed, TimePoint now) {
+void GatewayState::ApplyPlacement(const PlacementUpdate& placed, TimePoint now) {
   if (!placed.parts.empty()) {
     prefix_shares_.Record(placed.parts.front().hash, placed.new_tokens, now);
   }
@@ -89,10 +89,10 @@
   backend->cache.Use(placed.parts, placed.own_tokens, CacheTokensOf(backend->entry.service), now);
 }
 
-void GatewayState::TellPlaced(PlacementUpdate placed) {
+void GatewayState::PublishPlacement(PlacementUpdate placed) {
   const TimePoint now = Clock::now();
   if (!placed.parts.empty()) own_shares_.Record(placed.parts.front().hash, placed.new_tokens, now);
-  TakePlaced(placed, now);
+  ApplyPlacement(placed, now);
   news_.placed.push_back(std::move(placed));
   if (on_placed_) on_placed_();
 }
@@ -104,7 +104,7 @@
   co_return outcome;
 }
 
-net::awaitable<LoadAnswer> GatewayState::AskLoads(LoadQuestion question) {
+net::awaitable<LoadAnswer> GatewayState::QueryLoads(LoadQuestion question) {
   const LoadQuestion asked = question;
   LoadAnswer answer = co_await ask_loads_(std::move(question));
   const TimePoint now = Clock::now();
@@ -133,7 +133,7 @@
                                      TimePoint now) {
   BackendReport report;
   report.backend = HashOf(backend);
-  const LoadUpdate own = OwnLoadAt(backend, now);
+  const LoadUpdate own = LocalLoadAt(backend, now);
   report.work = backend.direct_peers;
   report.work.running += own.running;
   report.work.unread_tokens += own.unread_tokens;
@@ -160,15 +160,15 @@
 void GatewayState::Hold(Backend& backend, std::chrono::milliseconds length, TimePoint now) {
   backend.hold_until = now + length;
   news_.holds.push_back({HashOf(backend), length});
-  NoteLoadChange();
+  NotifyLoadChanged();
 }
 
-void GatewayState::NoteUnreachable(Backend& backend) {
+void GatewayState::ReportUnreachable(Backend& backend) {
   backend.needs_probe = true;
   if (!std::exchange(backend.reachable, false)) return;
   news_.unreachable.push_back(HashOf(backend));
-  NoteLoadChange();
-  unanswered_attempts_.WithdrawFrom(backend.entry.id);
+  NotifyLoadChanged();
+  unanswered_attempts_.CancelAt(backend.entry.id);
 }
 
 std::uint32_t GatewayState::Uncovered(const Backend& backend, TimePoint now) {
@@ -185,7 +185,7 @@
   if (known != backend.weights.end() && known->second >= number) return;
   BackendDirectory::RecordWeights(backend, model, number);
   news_.weights.push_back({HashOf(backend), model, number});
-  NoteLoadChange();
+  NotifyLoadChanged();
 }
 
 }  // namespace ridgehold
--- a/libs/gateway/src/broken_attempts.cc
+++ b/libs/gateway/src/interrupted_attempts.cc
@@ -1,18 +1,18 @@
-#include "gateway/broken_attempts.h"
+#include "gateway/interrupted_attempts.h"
 
 #include <algorithm>
 
 namespace ridgehold {
 
-bool BrokenAttempts::Note(BackendHash backend, RequestFingerprint request, TimePoint now) {
+bool InterruptedAttempts::Note(BackendHash backend, RequestFingerprint request, TimePoint now) {
   Expire(now);
-  if (HasEnded(backend)) return true;
+  if (HasCrashed(backend)) return true;
   if (broken_.size() >= kMost) broken_.pop_front();
   broken_.push_back({backend, request, now});
   return false;
 }
 
-std::vector<RequestFingerprint> BrokenAttempts::End(BackendHash backend, TimePoint now) {
+std::vector<RequestFingerprint> InterruptedAttempts::End(BackendHash backend, TimePoint now) {
   Expire(now);
   std::vector<RequestFingerprint> present;
   if (!ended_.emplace(backend, now).second) return present;
@@ -24,7 +24,7 @@
   return present;
 }
 
-void BrokenAttempts::Expire(TimePoint now) {
+void InterruptedAttempts::Expire(TimePoint now) {
   while (!broken_.empty() && now - broken_.front().at >= kSameCause) broken_.pop_front();
   std::erase_if(ended_, [&](const auto& entry) { return now - entry.second >= kSameCause; });
 }
--- a/libs/gateway/src/poison_detector.cc
+++ b/libs/gateway/src/poison_detector.cc
@@ -18,7 +18,7 @@
   return quarantines;
 }
 
-bool PoisonDetector::TakeSurvived(RequestFingerprint request, TimePoint now) {
+bool PoisonDetector::ClearSuspicion(RequestFingerprint request, TimePoint now) {
   const auto found = records_.find(request);
   if (found == records_.end()) return false;
   Record& record = found->second;
@@ -49,7 +49,7 @@
   return record.counted() > 0 ? Suspicion::kSuspect : Suspicion::kNone;
 }
 
-std::uint32_t PoisonDetector::EndsOf(RequestFingerprint request) const {
+std::uint32_t PoisonDetector::CrashesOf(RequestFingerprint request) const {
   const auto found = records_.find(request);
   return found == records_.end() ? 0 : found->second.counted();
 }
@@ -67,9 +67,9 @@
 }
 
 void PoisonDetector::MakeRoom(TimePoint now) {
-  if (records_.size() < rule_.most_suspects) return;
+  if (records_.size() < rule_.max_suspects) return;
   std::erase_if(records_, [&](const auto& entry) { return now >= ForgottenAt(entry.second); });
-  if (records_.size() < rule_.most_suspects) return;
+  if (records_.size() < rule_.max_suspects) return;
   // Quarantines are kept in preference to suspicions; their later end time already ensures this.
   const auto oldest = std::ranges::min_element(records_, {}, [](const auto& entry) {
     return std::max(entry.second.last, entry.second.until);
--- a/libs/gateway/src/poison_guard.cc
+++ b/libs/gateway/src/poison_guard.cc
@@ -30,14 +30,15 @@
 
 }  // namespace
 
-void PoisonGuard::NoteBroken(const Backend& backend, RequestFingerprint request, TimePoint now) {
+void PoisonGuard::RecordInterruption(const Backend& backend, RequestFingerprint request,
+                                     TimePoint now) {
   const BackendHash hash = HashOf(backend);
   if (broken_.Note(hash, request, now)) NoteEnd({hash, request}, now);
 }
 
-void PoisonGuard::NoteEnded(const Backend& backend, const char* evidence, TimePoint now) {
+void PoisonGuard::RecordCrash(const Backend& backend, const char* evidence, TimePoint now) {
   const BackendHash hash = HashOf(backend);
-  if (broken_.HasEnded(hash)) return;
+  if (broken_.HasCrashed(hash)) return;
   const std::vector<RequestFingerprint> present = broken_.End(hash, now);
   if (present.empty()) return;
   metrics_.GetCounter("ridgehold_backend_ends_under_requests").Add();
@@ -50,7 +51,7 @@
   for (const RequestFingerprint request : present) NoteEnd({hash, request}, now);
 }
 
-void PoisonGuard::NoteEnd(const EndNews& end, TimePoint now) {
+void PoisonGuard::NoteEnd(const CrashReport& end, TimePoint now) {
   news_.ends.push_back(end);
   const bool quarantines = detector_.TakeEnd(end.request, end.backend, now);
   if (!Forgive(end.request, now) && quarantines) {
@@ -80,10 +81,10 @@
   const bool is_stored = decided_here_.contains(request) || from_store_.contains(request);
   if (quarantined && is_stored) NoteReleased(request);
   Forget(request);
-  return detector_.TakeSurvived(request, now);
+  return detector_.ClearSuspicion(request, now);
 }
 
-void PoisonGuard::NoteSurvived(RequestFingerprint request, TimePoint now) {
+void PoisonGuard::RecordCompletion(RequestFingerprint request, TimePoint now) {
   survivors_.Add(request, now);
   if (detector_.suspects() == 0) return;
   const bool quarantined = detector_.SuspicionOf(request, now) == Suspicion::kQuarantined;
@@ -112,8 +113,8 @@
   if (std::ranges::find(released_, request) == released_.end()) released_.push_back(request);
 }
 
-void PoisonGuard::Take(const PoisonNews& news, TimePoint now) {
-  for (const EndNews& end : news.ends) {
+void PoisonGuard::Take(const PoisonUpdate& news, TimePoint now) {
+  for (const CrashReport& end : news.ends) {
     TellQuarantined(end.request, now);
     const bool quarantines = detector_.TakeEnd(end.request, end.backend, now);
     if (!Forgive(end.request, now) && quarantines) OnQuarantined(end.request, "peers");
@@ -131,7 +132,7 @@
 /// missed the quarantine: it has just started while the store was unavailable.
 void PoisonGuard::TellQuarantined(RequestFingerprint request, TimePoint now) {
   const bool quarantined = detector_.SuspicionOf(request, now) == Suspicion::kQuarantined;
-  if (!quarantined || !DecidedHere(request)) return;
+  if (!quarantined || !DecidedLocally(request)) return;
   if (std::ranges::find(news_.quarantined, request) != news_.quarantined.end()) return;
   news_.quarantined.push_back(request);
   Tell();
@@ -156,17 +157,17 @@
 
 std::vector<RequestFingerprint> PoisonGuard::TakeReleased() { return std::exchange(released_, {}); }
 
-PoisonNews PoisonGuard::TakeNews() { return std::exchange(news_, {}); }
+PoisonUpdate PoisonGuard::TakeNews() { return std::exchange(news_, {}); }
 
 void PoisonGuard::OnQuarantined(RequestFingerprint request, const char* source) {
   metrics_.GetCounter("ridgehold_requests_quarantined", "source=\"" + std::string(source) + "\"")
       .Add();
   Log(LogLevel::kWarn, "request quarantined",
       {{"fingerprint", ToText(request)},
-       {"ends", std::to_string(detector_.EndsOf(request))},
+       {"ends", std::to_string(detector_.CrashesOf(request))},
        {"source", source}});
   // Copies queued at engines would crash these when started.
-  running_.WithdrawIf([&](RequestFingerprint running) { return running == request; });
+  running_.CancelIf([&](RequestFingerprint running) { return running == request; });
 }
 
 void PoisonGuard::Forget(RequestFingerprint request) {
--- a/libs/gateway/src/polled_choice.cc
+++ b/libs/gateway/src/polled_choice.cc
@@ -95,7 +95,7 @@
     LoadQuestion question = MakeLoadQuestion(query_, plan_, std::move(backends));
     if (first) question.home = home_;
     if (!first) question.store.reset();
-    LoadAnswer answer = co_await state_.AskLoads(std::move(question));
+    LoadAnswer answer = co_await state_.QueryLoads(std::move(question));
     answer_.backends.merge(std::move(answer.backends));
     if (first) answer_.store = answer.store;
     if (first) answer_.holders = std::move(answer.holders);
--- a/libs/gateway/src/backend_words.cc
+++ b/libs/gateway/src/pushback_registry.cc
@@ -1,4 +1,4 @@
-#include "gateway/backend_words.h"
+#include "gateway/pushback_registry.h"
 
 #include <fmt/format.h>
 
@@ -17,7 +17,7 @@
 constexpr std::chrono::milliseconds kMaxPeerBackoff{5'000};
 
 void LogState(const char* event, const Backend& backend) {
-  const BackendWord& word = backend.notice_state;
+  const PushbackState& word = backend.notice_state;
   const std::string limit =
       word.limit() ? fmt::format("{:.3f}", word.limit()->per_second()) : "none";
   Log(LogLevel::kInfo, event,
@@ -30,8 +30,8 @@
 
 }  // namespace
 
-void BackendWords::Note(Backend& backend, const BackendNotice& notice, TimePoint sent,
-                        TimePoint now) {
+void PushbackRegistry::Note(Backend& backend, const BackendPushback& notice, TimePoint sent,
+                            TimePoint now) {
   if (notice.rest) {
     Log(LogLevel::kInfo, "backend rests",
         {{"backend", backend.entry.id.value()},
@@ -44,14 +44,14 @@
     LogState("backend notice", backend);
     NoteChange(backend, now);
   }
-  const bool share = changed || (notice.rest && backend.notice_state.TellsRest(now));
-  if (!share || !backend.notice_state.BeginTelling(now)) return;
+  const bool share = changed || (notice.rest && backend.notice_state.ShouldShareBackoff(now));
+  if (!share || !backend.notice_state.TryBeginBroadcast(now)) return;
   news_.items.push_back(NewsOf(backend, now));
   if (on_news_) on_news_();
 }
 
-BackendNews BackendWords::NewsOf(const Backend& backend, TimePoint now) {
-  BackendNews news = backend.notice_state.News(HashOf(backend));
+PushbackUpdate PushbackRegistry::NewsOf(const Backend& backend, TimePoint now) {
+  PushbackUpdate news = backend.notice_state.News(HashOf(backend));
   const TimePoint rest_until = backend.notice_state.rest_until();
   if (now < rest_until) {
     news.rest_left = std::chrono::ceil<std::chrono::milliseconds>(rest_until - now);
@@ -59,25 +59,25 @@
   return news;
 }
 
-void BackendWords::TakeRest(Backend& backend, const BackendNews& news, std::uint64_t gateway,
-                            TimePoint now) {
+void PushbackRegistry::TakeRest(Backend& backend, const PushbackUpdate& news, std::uint64_t gateway,
+                                TimePoint now) {
   if (!news.rest_left) return;
   const TimePoint until = now + std::min(*news.rest_left, kMaxPeerBackoff);
-  if (!backend.notice_state.NoteRestOfOther(gateway, until, now)) return;
+  if (!backend.notice_state.RecordPeerBackoff(gateway, until, now)) return;
   Log(LogLevel::kInfo, "backend deprioritized: two peers were asked to back off",
       {{"backend", backend.entry.id.value()},
        {"address", backend.entry.address},
        {"rest_ms", std::to_string(news.rest_left->count())}});
 }
 
-BackendNewsList BackendWords::Take(const BackendNewsList& news, std::uint64_t gateway,
-                                   TimePoint now) {
-  BackendNewsList newer;
-  for (const BackendNews& item : news.items) {
+PushbackUpdateList PushbackRegistry::Take(const PushbackUpdateList& news, std::uint64_t gateway,
+                                          TimePoint now) {
+  PushbackUpdateList newer;
+  for (const PushbackUpdate& item : news.items) {
     const BackendPtr backend = directory_.FindByHash(item.backend);
     if (!backend) continue;
     TakeRest(*backend, item, gateway, now);
-    const BackendNews before = backend->notice_state.News(item.backend);
+    const PushbackUpdate before = backend->notice_state.News(item.backend);
     if (backend->notice_state.TakeNews(item, now)) newer.items.push_back(before);
     if (backend->notice_state.News(item.backend) == before) continue;
     LogState("backend notice told", *backend);
@@ -86,16 +86,17 @@
   return newer;
 }
 
-BackendNewsList BackendWords::Refreshed(const BackendNewsList& news, TimePoint now) const {
-  BackendNewsList refreshed;
-  for (const BackendNews& item : news.items) {
+PushbackUpdateList PushbackRegistry::Refreshed(const PushbackUpdateList& news,
+                                               TimePoint now) const {
+  PushbackUpdateList refreshed;
+  for (const PushbackUpdate& item : news.items) {
     const BackendPtr backend = directory_.FindByHash(item.backend);
     if (backend) refreshed.items.push_back(NewsOf(*backend, now));
   }
   return refreshed;
 }
 
-void BackendWords::NoteChange(const Backend& backend, TimePoint now) {
+void PushbackRegistry::NoteChange(const Backend& backend, TimePoint now) {
   if (!backend.notice_state.limit()) return;
   counted_until_ = now + kQuotaRetention;
   // Pending terms are not consumed while this gateway holds no quota share. They may be dropped,
@@ -105,11 +106,11 @@
   if (on_limit_) on_limit_();
 }
 
-QuotaSubject BackendWords::SubjectFor(const Backend& backend) const {
+QuotaSubject PushbackRegistry::SubjectFor(const Backend& backend) const {
   return BackendSubject(HashOf(backend));
 }
 
-QuotaLimits BackendWords::TermsFor(const Backend& backend) const {
+QuotaLimits PushbackRegistry::TermsFor(const Backend& backend) const {
   return EffectiveLimits(*backend.notice_state.limit(), tolerance_, backend.notice_state.number());
 }
 
--- a/libs/gateway/src/backend_word.cc
+++ b/libs/gateway/src/pushback_state.cc
@@ -1,9 +1,9 @@
-#include "gateway/backend_word.h"
+#include "gateway/pushback_state.h"
 
 #include <algorithm>
 #include <chrono>
 
-#include "gateway/uncounted_turns.h"
+#include "gateway/fallback_slots.h"
 
 namespace ridgehold {
 namespace {
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-bool BackendWord::TakeNotice(const BackendNotice& notice, TimePoint sent, TimePoint now) {
+bool PushbackState::TakeNotice(const BackendPushback& notice, TimePoint sent, TimePoint now) {
   heard_at_ = now;
   if (notice.rest) rest_until_ = std::max<TimePoint>(rest_until_, now + *notice.rest);
   // The server accepts requests from this gateway, whatever back-offs it requests from others.
@@ -34,7 +34,7 @@
   return true;
 }
 
-bool BackendWord::TakeNews(const BackendNews& news, TimePoint now) {
+bool PushbackState::TakeNews(const PushbackUpdate& news, TimePoint now) {
   // A shutdown announcement is final, even in a stale update.
   const bool newly_leaving = news.leaving && !leaving_;
   leaving_ = leaving_ || news.leaving;
@@ -48,18 +48,18 @@
   return false;
 }
 
-BackendNews BackendWord::News(BackendHash backend) const {
+PushbackUpdate PushbackState::News(BackendHash backend) const {
   return {backend, number_, limit_, leaving_};
 }
 
-bool BackendWord::NoteRestOfOther(std::uint64_t gateway, TimePoint until, TimePoint now) {
-  const bool was_deprioritized = doubted_until() > now;
+bool PushbackState::RecordPeerBackoff(std::uint64_t gateway, TimePoint until, TimePoint now) {
+  const bool was_deprioritized = deprioritized_until() > now;
   others_.Note(gateway, until);
   others_heard_at_ = now;
-  return !was_deprioritized && doubted_until() > now;
+  return !was_deprioritized && deprioritized_until() > now;
 }
 
-bool BackendWord::BeginTelling(TimePoint now) {
+bool PushbackState::TryBeginBroadcast(TimePoint now) {
   // Shorter than the time over which the gossip repeats an update.
   constexpr std::chrono::milliseconds kBroadcastTime{400};
   if (told_from_ != TimePoint() && now - told_from_ < kBroadcastTime) return false;
@@ -67,26 +67,26 @@
   return true;
 }
 
-void BackendWord::SetLimit(const std::optional<RequestRate>& limit, TimePoint now) {
+void PushbackState::SetLimit(const std::optional<RequestRate>& limit, TimePoint now) {
   if (!limit_) limited_since_ = now;
   limit_ = limit;
   // An earlier denial of a permit applied to the former limit.
   no_permit_until_ = {};
 }
 
-TimePoint BackendWord::barred_until() const {
+TimePoint PushbackState::barred_until() const {
   return limit_ ? std::max(rest_until_, no_permit_until_) : rest_until_;
 }
 
-void BackendWord::NoteNoPermit(TimePoint until) {
+void PushbackState::BlockUntilPermit(TimePoint until) {
   no_permit_until_ = std::max(no_permit_until_, until);
 }
 
-bool BackendWord::TakeUncounted(BackendHash backend, std::uint64_t gateway, std::uint32_t gateways,
-                                TimePoint now) {
-  const std::int64_t slot = UncountedTurns::TurnAt(now);
+bool PushbackState::TryUseFallbackSlot(BackendHash backend, std::uint64_t gateway,
+                                       std::uint32_t gateways, TimePoint now) {
+  const std::int64_t slot = FallbackSlots::TurnAt(now);
   const bool selected =
-      limit_ && UncountedTurns::IsDrawn({backend, gateway, gateways, *limit_}, slot);
+      limit_ && FallbackSlots::IsDrawn({backend, gateway, gateways, *limit_}, slot);
   if (!selected || uncounted_turn_ == slot) return false;
   uncounted_turn_ = slot;
   return true;
--- a/libs/gateway/src/request_log.cc
+++ b/libs/gateway/src/request_log.cc
@@ -13,23 +13,23 @@
 namespace ridgehold {
 namespace {
 
-std::string_view NameOf(AttemptEnd end) {
+std::string_view NameOf(AttemptOutcome end) {
   switch (end) {
-    case AttemptEnd::kStreamed:
+    case AttemptOutcome::kStreamed:
       return "streamed";
-    case AttemptEnd::kAnswered:
+    case AttemptOutcome::kAnswered:
       return "answered";
-    case AttemptEnd::kNotSent:
+    case AttemptOutcome::kNotSent:
       return "not_sent";
-    case AttemptEnd::kBroken:
+    case AttemptOutcome::kBroken:
       return "broken";
-    case AttemptEnd::kTimedOut:
+    case AttemptOutcome::kTimedOut:
       return "timed_out";
-    case AttemptEnd::kCallerGone:
+    case AttemptOutcome::kCallerGone:
       return "caller_gone";
-    case AttemptEnd::kSkipped:
+    case AttemptOutcome::kSkipped:
       return "skipped";
-    case AttemptEnd::kWithdrawn:
+    case AttemptOutcome::kWithdrawn:
       return "withdrawn";
   }
   return "unknown";
@@ -41,13 +41,13 @@
       return "done";
     case NextStep::kDeliver:
       return "deliver";
-    case NextStep::kTryAgain:
+    case NextStep::kRetry:
       return "try_again";
     case NextStep::kRefuse:
       return "refuse_not_run";
     case NextStep::kFail:
       return "fail_may_have_run";
-    case NextStep::kBreakOff:
+    case NextStep::kAbortStream:
       return "break_off";
   }
   return "unknown";
@@ -119,7 +119,7 @@
 }  // namespace
 
 std::optional<NoticeRecord> NoticeRecordOf(const Backend& backend, TimePoint now) {
-  const BackendWord& received = backend.notice_state;
+  const PushbackState& received = backend.notice_state;
   const auto cool_down = std::chrono::duration_cast<Duration>(received.rest_until() - now);
   const NoticeRecord notice{received.limit(), received.leaving(),
                             std::max(Duration::zero(), cool_down),
@@ -186,7 +186,7 @@
 }
 
 void LogAttempt(GatewayState& state, const RequestRecord& record, const Backend& backend,
-                const AttemptFacts& facts, ResultCode code, NextStep step) {
+                const RetryDecisionInput& facts, ResultCode code, NextStep step) {
   state.metrics()
       .GetCounter("ridgehold_attempts_failed", "code=\"" + std::string(Describe(code).name) + "\"")
       .Add();
--- a/libs/gateway/src/retry_allowance.cc
+++ b/libs/gateway/src/sliding_retry_budget.cc
@@ -1,21 +1,21 @@
-#include "gateway/retry_allowance.h"
+#include "gateway/sliding_retry_budget.h"
 
 #include <algorithm>
 #include <numeric>
 
 namespace ridgehold {
 
-void RetryAllowance::WindowCounter::Add(std::int64_t step) {
+void SlidingRetryBudget::WindowCounter::Add(std::int64_t step) {
   Advance(step);
   ++counts_[static_cast<std::size_t>(step) % kSteps];
 }
 
-double RetryAllowance::WindowCounter::Sum(std::int64_t step) {
+double SlidingRetryBudget::WindowCounter::Sum(std::int64_t step) {
   Advance(step);
   return std::accumulate(counts_.begin(), counts_.end(), 0.0);
 }
 
-void RetryAllowance::WindowCounter::Advance(std::int64_t step) {
+void SlidingRetryBudget::WindowCounter::Advance(std::int64_t step) {
   const std::int64_t first = std::max(newest_ + 1, step - static_cast<std::int64_t>(kSteps) + 1);
   for (std::int64_t passed = first; passed <= step; ++passed) {
     counts_[static_cast<std::size_t>(passed) % kSteps] = 0;
@@ -23,7 +23,7 @@
   newest_ = std::max(newest_, step);
 }
 
-void RetryAllowance::SetGateways(std::uint32_t gateways, TimePoint now) {
+void SlidingRetryBudget::SetGateways(std::uint32_t gateways, TimePoint now) {
   GatewayCount latest{std::max(gateways, 1U), now};
   while (!gateway_counts_.empty() && gateway_counts_.back().count <= latest.count) {
     latest.since = gateway_counts_.back().since;
@@ -32,7 +32,7 @@
   gateway_counts_.push_back(latest);
 }
 
-std::uint32_t RetryAllowance::MostGateways(TimePoint now) {
+std::uint32_t SlidingRetryBudget::MostGateways(TimePoint now) {
   if (gateway_counts_.empty()) return 1;
   while (gateway_counts_.size() > 1 && now - gateway_counts_[1].since > CountedSpan()) {
     gateway_counts_.pop_front();
@@ -40,27 +40,27 @@
   return gateway_counts_.front().count;
 }
 
-void RetryAllowance::Earn(const ServiceId& service, TimePoint now) {
+void SlidingRetryBudget::Earn(const ServiceId& service, TimePoint now) {
   counters_[service].requests.Add(StepAt(now));
 }
 
-bool RetryAllowance::Spend(const ServiceId& service, TimePoint now) {
+bool SlidingRetryBudget::Spend(const ServiceId& service, TimePoint now) {
   if (Left(service, now) < 1) return false;
   counters_[service].retries.push_back(now);
   return true;
 }
 
-double RetryAllowance::Left(const ServiceId& service, TimePoint now) {
+double SlidingRetryBudget::Left(const ServiceId& service, TimePoint now) {
   Counters& counters = counters_[service];
   const double earned = bound_.ratio * counters.requests.Sum(StepAt(now));
   // At least one retry: in a large fleet every share would round down to none.
-  const double allowed = std::max(1.0, kUsedPart * (bound_.slack / MostGateways(now) + earned));
+  const double allowed = std::max(1.0, kUsedFraction * (bound_.slack / MostGateways(now) + earned));
   auto& retries = counters.retries;
   while (!retries.empty() && now - retries.front() > CountedSpan()) retries.pop_front();
   return std::max(0.0, allowed - static_cast<double>(retries.size()));
 }
 
-std::int64_t RetryAllowance::StepAt(TimePoint now) const {
+std::int64_t SlidingRetryBudget::StepAt(TimePoint now) const {
   const auto step = std::chrono::duration_cast<Clock::duration>(bound_.window) / kSteps;
   return now.time_since_epoch() / step;
 }
--- a/libs/gateway/test/admission-test.cc
+++ b/libs/gateway/test/admission-test.cc
@@ -19,7 +19,7 @@
   return query;
 }
 
-const Admission kAdmission{AdmissionRule{}};
+const Admission kAdmission{AdmissionOptions{}};
 
 }  // namespace
 
@@ -70,7 +70,7 @@
 BOOST_AUTO_TEST_CASE(admission_is_disabled_by_setting_or_without_objectives) {
   AdmissionQuery query = LongPrompt();
   query.ahead = 10s;
-  AdmissionRule off;
+  AdmissionOptions off;
   off.enabled = false;
   BOOST_TEST(Admission(off).MaySend(query));
   query.objective = 0ms;
@@ -98,7 +98,7 @@
   }
   BOOST_TEST(first.MayLook());
   BOOST_TEST(!others.back()->MayLook());
-  first.SetLate();
+  first.MarkLate();
   BOOST_TEST(!first.MayLook());
   BOOST_TEST(others.back()->MayLook());
   DeferredRequests::Ticket urgent(queue, 0);
--- a/libs/gateway/test/exchange_plan-test.cc
+++ b/libs/gateway/test/exchange_plan-test.cc
@@ -134,7 +134,7 @@
   saved.parts = Plan().chain->parts;
   saved.weights = WeightsNumber(1);
   saved.saved_to = LinkOf("s:1");
-  state.TakePlaced(saved, Clock::now() - 1s);
+  state.ApplyPlacement(saved, Clock::now() - 1s);
   const BackendChoice choice = Choose();
   BOOST_TEST(choice.tokens_to_prefill == kOwn);
   BOOST_TEST(choice.tokens_to_cache == kShared + kOwn);
--- a/libs/gateway/test/placement-test.cc
+++ b/libs/gateway/test/placement-test.cc
@@ -164,7 +164,7 @@
 BOOST_AUTO_TEST_CASE(backend_servers_in_cool_down_at_other_gateways_are_chosen_last) {
   AddToCache(backends[1], 1s);
   for (const std::uint64_t other : {1, 2})
-    backends[1]->notice_state.NoteRestOfOther(other, kNow + 1s, kNow);
+    backends[1]->notice_state.RecordPeerBackoff(other, kNow + 1s, kNow);
   BOOST_TEST(ChooseBackend(query, backends, costs).index != 1);
   const std::vector<BackendPtr> alone = {backends[1]};
   BOOST_TEST(ChooseBackend(query, alone, costs).index == 0);
--- a/libs/gateway/test/poison_detector-test.cc
+++ b/libs/gateway/test/poison_detector-test.cc
@@ -1,8 +1,8 @@
 #include <boost/test/unit_test.hpp>
 
-#include "gateway/broken_attempts.h"
+#include "gateway/interrupted_attempts.h"
 #include "gateway/poison_detector.h"
-#include "poison_crowd.h"
+#include "poison_simulation.h"
 
 using namespace ridgehold;
 using namespace ridgehold::test;
@@ -12,7 +12,7 @@
 
 const TimePoint kStart{1h};
 const RequestFingerprint kRequest(7);
-constexpr PoisonRule kRule;
+constexpr PoisonOptions kRule;
 
 /// Detector to which three crashes under the request were reported at `kStart`.
 PoisonDetector Quarantining() {
@@ -40,26 +40,26 @@
 BOOST_AUTO_TEST_CASE(crash_reported_by_several_gateways_counts_once) {
   PoisonDetector detector(kRule);
   for (int i = 0; i < 9; ++i) BOOST_TEST(!detector.TakeEnd(kRequest, 1, kStart));
-  BOOST_TEST(detector.EndsOf(kRequest) == 1U);
+  BOOST_TEST(detector.CrashesOf(kRequest) == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(successful_run_clears_the_request) {
   PoisonDetector detector(kRule);
   detector.TakeEnd(kRequest, 1, kStart);
   detector.TakeEnd(kRequest, 2, kStart);
-  BOOST_TEST(detector.TakeSurvived(kRequest, kStart));
-  BOOST_TEST(!detector.TakeSurvived(kRequest, kStart));
+  BOOST_TEST(detector.ClearSuspicion(kRequest, kStart));
+  BOOST_TEST(!detector.ClearSuspicion(kRequest, kStart));
   BOOST_TEST((detector.SuspicionOf(kRequest, kStart) == Suspicion::kNone));
   // A repeated report of an earlier crash does not count.
   detector.TakeEnd(kRequest, 1, kStart);
-  BOOST_TEST(detector.EndsOf(kRequest) == 0U);
+  BOOST_TEST(detector.CrashesOf(kRequest) == 0U);
   BOOST_TEST(!detector.TakeEnd(kRequest, 3, kStart));
-  BOOST_TEST(detector.EndsOf(kRequest) == 1U);
+  BOOST_TEST(detector.CrashesOf(kRequest) == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(successful_copy_ends_the_quarantine) {
   PoisonDetector detector = Quarantining();
-  BOOST_TEST(detector.TakeSurvived(kRequest, kStart + 1s));
+  BOOST_TEST(detector.ClearSuspicion(kRequest, kStart + 1s));
   BOOST_TEST((detector.SuspicionOf(kRequest, kStart + 1s) == Suspicion::kNone));
 }
 
@@ -75,7 +75,7 @@
 BOOST_AUTO_TEST_CASE(request_that_succeeds_after_quarantine_is_not_suspect) {
   PoisonDetector detector = Quarantining();
   const TimePoint over = kStart + kRule.quarantine;
-  BOOST_TEST(detector.TakeSurvived(kRequest, over));
+  BOOST_TEST(detector.ClearSuspicion(kRequest, over));
   BOOST_TEST((detector.SuspicionOf(kRequest, over) == Suspicion::kNone));
   const TimePoint forgotten = over + kRule.memory;
   BOOST_TEST((Quarantining().SuspicionOf(kRequest, forgotten) == Suspicion::kNone));
@@ -91,8 +91,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(memory_is_bounded_and_retains_quarantines_longest) {
-  PoisonRule rule;
-  rule.most_suspects = 100;
+  PoisonOptions rule;
+  rule.max_suspects = 100;
   PoisonDetector detector(rule);
   for (const BackendHash backend : {1, 2, 3}) detector.TakeEnd(kRequest, backend, kStart);
   for (std::uint64_t i = 0; i < 10'000; ++i) {
@@ -103,7 +103,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(disabled_detector_suspects_no_request) {
-  PoisonRule rule;
+  PoisonOptions rule;
   rule.most_ends = 0;
   PoisonDetector detector(rule);
   for (BackendHash backend = 1; backend < 9; ++backend) {
@@ -113,7 +113,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(interruption_and_crash_are_matched_in_either_order_within_seconds) {
-  BrokenAttempts broken;
+  InterruptedAttempts broken;
   BOOST_TEST(!broken.Note(1, kRequest, kStart));
   BOOST_TEST(!broken.Note(2, RequestFingerprint(8), kStart));
   const auto present = broken.End(1, kStart + 4s);
@@ -133,12 +133,12 @@
 
 /// Small fleets are simulated with several seeds, so that each run has more than ten thousand
 /// requests.
-CrowdOutcome SimulateFleet(CrowdPlan config) {
+SimulationResult SimulateFleet(SimulationConfig config) {
   const int seeds = config.servers < 10 ? 40 / config.servers : 1;
-  CrowdOutcome all;
+  SimulationResult all;
   for (int seed = 1; seed <= seeds; ++seed) {
     config.seed = static_cast<std::uint64_t>(seed);
-    const CrowdOutcome one = PlayCrowd(config);
+    const SimulationResult one = RunSimulation(config);
     all.innocent += one.innocent;
     all.rejected += one.rejected;
     all.rejected_in_outage += one.rejected_in_outage;
@@ -160,7 +160,7 @@
   for (const int servers : {4, 9, 60, 240}) {
     for (const CrashPattern pattern : {CrashPattern::kIndependent, CrashPattern::kRelease,
                                        CrashPattern::kZoneLost, CrashPattern::kFlapping}) {
-      const CrowdOutcome outcome = SimulateFleet({.servers = servers, .pattern = pattern});
+      const SimulationResult outcome = SimulateFleet({.servers = servers, .pattern = pattern});
       BOOST_TEST(outcome.innocent > 10'000U);
       BOOST_TEST(outcome.crashes > 0U);
       // Such a request was running at three crashes, so its client has already waited for seconds.
@@ -171,7 +171,7 @@
 
 BOOST_AUTO_TEST_CASE(outage_of_a_small_fleet_causes_few_false_positives) {
   for (const int servers : {4, 9}) {
-    const CrowdOutcome outcome =
+    const SimulationResult outcome =
         SimulateFleet({.servers = servers, .pattern = CrashPattern::kCascade});
     BOOST_TEST(outcome.rejected * 900 <= outcome.innocent);
     // No server could have served these; they would be rejected immediately in any case.
@@ -181,7 +181,7 @@
 
 BOOST_AUTO_TEST_CASE(poison_request_crashes_few_servers_in_any_fleet) {
   for (const int servers : {4, 9, 60, 240}) {
-    const CrowdOutcome outcome =
+    const SimulationResult outcome =
         SimulateFleet({.servers = servers, .pattern = CrashPattern::kNone, .poison_requests = 3});
     BOOST_TEST(outcome.max_crashes_by_one >= 3U);
     BOOST_TEST(outcome.max_crashes_by_one <= 5U);
@@ -192,7 +192,7 @@
 BOOST_AUTO_TEST_CASE(poison_is_detected_among_other_crashes) {
   for (const CrashPattern pattern :
        {CrashPattern::kIndependent, CrashPattern::kZoneLost, CrashPattern::kFlapping}) {
-    const CrowdOutcome outcome =
+    const SimulationResult outcome =
         SimulateFleet({.servers = 9, .pattern = pattern, .poison_requests = 3});
     BOOST_TEST(outcome.max_crashes_by_one <= 6U);
     BOOST_TEST(outcome.rejected * 500 <= outcome.innocent);
@@ -200,9 +200,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(without_detection_poison_crashes_many_servers) {
-  CrowdPlan config{.servers = 9, .pattern = CrashPattern::kNone, .poison_requests = 1};
+  SimulationConfig config{.servers = 9, .pattern = CrashPattern::kNone, .poison_requests = 1};
   config.rule.most_ends = 0;
-  BOOST_TEST(PlayCrowd(config).max_crashes_by_one > 20U);
+  BOOST_TEST(RunSimulation(config).max_crashes_by_one > 20U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/gateway/test/poison_guard-test.cc
+++ b/libs/gateway/test/poison_guard-test.cc
@@ -18,14 +18,14 @@
 
 struct Fixture {
   Metrics metrics;
-  PoisonGuard guard{metrics, PoisonRule{}};
+  PoisonGuard guard{metrics, PoisonOptions{}};
 
   /// The backend servers with these names crash while running the request.
   void Crash(std::initializer_list<const char*> names, TimePoint now = kStart) {
     for (const char* name : names) {
       const Backend backend = BackendNamed(name);
-      guard.NoteBroken(backend, kRequest, now);
-      guard.NoteEnded(backend, "refused", now);
+      guard.RecordInterruption(backend, kRequest, now);
+      guard.RecordCrash(backend, "refused", now);
     }
   }
 
@@ -40,7 +40,7 @@
 
 BOOST_AUTO_TEST_CASE(interrupted_connection_alone_raises_no_suspicion) {
   for (const char* name : {"a", "b", "c", "d"}) {
-    guard.NoteBroken(BackendNamed(name), kRequest, kStart);
+    guard.RecordInterruption(BackendNamed(name), kRequest, kStart);
   }
   BOOST_TEST((CurrentSuspicion() == Suspicion::kNone));
   BOOST_TEST(guard.TakeNews().empty());
@@ -49,24 +49,24 @@
 BOOST_AUTO_TEST_CASE(crash_reports_lead_to_the_same_verdict_at_peers) {
   Crash({"a", "b", "c"});
   BOOST_TEST((CurrentSuspicion() == Suspicion::kQuarantined));
-  const PoisonNews update = guard.TakeNews();
+  const PoisonUpdate update = guard.TakeNews();
   BOOST_TEST(update.ends.size() == 3U);
   BOOST_TEST(update.quarantined.size() == 1U);
-  PoisonGuard other(metrics, PoisonRule{});
-  PoisonNews crashes_only;
+  PoisonGuard other(metrics, PoisonOptions{});
+  PoisonUpdate crashes_only;
   crashes_only.ends = update.ends;
   other.Take(crashes_only, kStart);
   BOOST_TEST((other.SuspicionOf(kRequest, kStart) == Suspicion::kQuarantined));
-  BOOST_TEST(!other.DecidedHere(kRequest));
-  BOOST_TEST(guard.DecidedHere(kRequest));
+  BOOST_TEST(!other.DecidedLocally(kRequest));
+  BOOST_TEST(guard.DecidedLocally(kRequest));
 }
 
 BOOST_AUTO_TEST_CASE(crashes_seen_by_different_gateways_add_up) {
-  PoisonGuard other(metrics, PoisonRule{});
+  PoisonGuard other(metrics, PoisonOptions{});
   Crash({"a", "b"});
   const Backend third = BackendNamed("c");
-  other.NoteBroken(third, kRequest, kStart);
-  other.NoteEnded(third, "refused", kStart);
+  other.RecordInterruption(third, kRequest, kStart);
+  other.RecordCrash(third, "refused", kStart);
   guard.Take(other.TakeNews(), kStart);
   BOOST_TEST((CurrentSuspicion() == Suspicion::kQuarantined));
 }
@@ -85,15 +85,15 @@
 }
 
 BOOST_AUTO_TEST_CASE(recently_successful_request_is_not_the_cause) {
-  guard.NoteSurvived(kRequest, kStart - 1s);
+  guard.RecordCompletion(kRequest, kStart - 1s);
   Crash({"a", "b", "c"});
   BOOST_TEST((CurrentSuspicion() == Suspicion::kSuspect));
   BOOST_TEST(!guard.TakeNews().survived.empty());
 }
 
 BOOST_AUTO_TEST_CASE(gateway_that_saw_a_success_corrects_its_peers) {
-  PoisonGuard other(metrics, PoisonRule{});
-  other.NoteSurvived(kRequest, kStart - 1s);
+  PoisonGuard other(metrics, PoisonOptions{});
+  other.RecordCompletion(kRequest, kStart - 1s);
   Crash({"a", "b", "c"});
   other.Take(guard.TakeNews(), kStart);
   BOOST_TEST((other.SuspicionOf(kRequest, kStart) != Suspicion::kQuarantined));
@@ -102,7 +102,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(manual_release_applies_everywhere_and_is_deleted_from_the_store) {
-  PoisonGuard other(metrics, PoisonRule{});
+  PoisonGuard other(metrics, PoisonOptions{});
   Crash({"a", "b", "c"});
   other.Take(guard.TakeNews(), kStart);
   BOOST_TEST(guard.Release(kRequest, kStart));
@@ -117,8 +117,8 @@
 // minutes.
 BOOST_AUTO_TEST_CASE(correction_deletes_a_stored_verdict) {
   Crash({"a", "b", "c"});
-  BOOST_REQUIRE(guard.DecidedHere(kRequest));
-  PoisonNews correction;
+  BOOST_REQUIRE(guard.DecidedLocally(kRequest));
+  PoisonUpdate correction;
   correction.survived.push_back(kRequest);
   guard.Take(correction, kStart);
   BOOST_TEST((CurrentSuspicion() == Suspicion::kNone));
@@ -127,19 +127,19 @@
 }
 
 BOOST_AUTO_TEST_CASE(stored_verdict_on_a_recently_successful_request_is_deleted) {
-  guard.NoteSurvived(kRequest, kStart);
+  guard.RecordCompletion(kRequest, kStart);
   guard.TakeStored(kRequest, 5min, kStart + 1s);
   BOOST_TEST((CurrentSuspicion(kStart + 1s) == Suspicion::kNone));
   BOOST_TEST(guard.TakeReleased().size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(gateway_that_missed_a_verdict_receives_it_after_its_next_crash_report) {
-  PoisonGuard late(metrics, PoisonRule{});
+  PoisonGuard late(metrics, PoisonOptions{});
   Crash({"a", "b", "c"});
   guard.TakeNews();
   const Backend fourth = BackendNamed("d");
-  late.NoteBroken(fourth, kRequest, kStart);
-  late.NoteEnded(fourth, "refused", kStart);
+  late.RecordInterruption(fourth, kRequest, kStart);
+  late.RecordCrash(fourth, "refused", kStart);
   guard.Take(late.TakeNews(), kStart);
   late.Take(guard.TakeNews(), kStart);
   BOOST_TEST((late.SuspicionOf(kRequest, kStart) == Suspicion::kQuarantined));
--- a/libs/gateway/test/poison_crowd.cc
+++ b/libs/gateway/test/poison_simulation.cc
@@ -1,4 +1,4 @@
-#include "poison_crowd.h"
+#include "poison_simulation.h"
 
 #include "gateway/poison_guard.h"
 
@@ -51,13 +51,13 @@
 
 class Simulation {
  public:
-  explicit Simulation(const CrowdPlan& config)
+  explicit Simulation(const SimulationConfig& config)
       : config_(config), random_(config.seed), servers_(static_cast<std::size_t>(config.servers)) {
     for (int i = 0; i < kGateways; ++i) guards_.push_back(MakeGuard(static_cast<std::size_t>(i)));
     for (Server& server : servers_) server.backend = MakeBackend();
   }
 
-  CrowdOutcome Simulate() {
+  SimulationResult Simulate() {
     ScheduleArrival();
     for (int i = 0; i < config_.poison_requests; ++i) StartPoison(i);
     StartCrashes();
@@ -179,7 +179,7 @@
 
   void Succeed(std::size_t number) {
     const Request& request = requests_[number];
-    guards_[request.gateway]->NoteSurvived(request.content, now_);
+    guards_[request.gateway]->RecordCompletion(request.content, now_);
   }
 
   void Crash(Server& server) {
@@ -190,13 +190,13 @@
     for (const std::size_t number : present) {
       Request& request = requests_[number];
       ++request.run;
-      guards_[request.gateway]->NoteBroken(*backend, request.content, now_);
+      guards_[request.gateway]->RecordInterruption(*backend, request.content, now_);
       gateways.insert(request.gateway);
       const bool again = request.sends < kSends;
       After(kConfirmDelay, [this, number, again] { again ? Send(number) : RetryByClient(number); });
     }
     for (const std::size_t gateway : gateways) {
-      guards_[gateway]->NoteEnded(*backend, "refused", now_);
+      guards_[gateway]->RecordCrash(*backend, "refused", now_);
     }
     After(kRestartDelay, [this, &server] { server.backend = MakeBackend(); });
   }
@@ -215,7 +215,7 @@
 
   std::unique_ptr<PoisonGuard> MakeGuard(std::size_t gateway) {
     auto guard = std::make_unique<PoisonGuard>(metrics_, config_.rule);
-    guard->SetNewsListener([this, gateway] { Gossip(gateway); });
+    guard->SetUpdateListener([this, gateway] { Gossip(gateway); });
     return guard;
   }
 
@@ -282,7 +282,7 @@
     });
   }
 
-  CrowdPlan config_;
+  SimulationConfig config_;
   std::mt19937_64 random_;
   TimePoint now_ = kStart;
   std::vector<Server> servers_;
@@ -292,7 +292,7 @@
   std::deque<Request> requests_;
   std::priority_queue<Event> events_;
   std::map<RequestFingerprint, std::uint64_t> crashes_by_;
-  CrowdOutcome outcome_;
+  SimulationResult outcome_;
   std::uint64_t last_event_ = 0;
   std::uint64_t last_content_ = kFirstOther;
   int last_server_ = 0;
@@ -318,6 +318,8 @@
   return "unknown";
 }
 
-CrowdOutcome PlayCrowd(const CrowdPlan& config) { return Simulation(config).Simulate(); }
+SimulationResult RunSimulation(const SimulationConfig& config) {
+  return Simulation(config).Simulate();
+}
 
 }  // namespace ridgehold::test
--- a/libs/gateway/test/poison_crowd.h
+++ b/libs/gateway/test/poison_simulation.h
@@ -22,17 +22,17 @@
 
 std::string_view NameOf(CrashPattern pattern);
 
-struct CrowdPlan {
+struct SimulationConfig {
   int servers = 9;
   CrashPattern pattern = CrashPattern::kNone;
   /// Number of distinct requests that crash each server that starts them; three concurrent copies
   /// of each are sent every second for 15 s.
   int poison_requests = 0;
-  PoisonRule rule;
+  PoisonOptions rule;
   std::uint64_t seed = 1;
 };
 
-struct CrowdOutcome {
+struct SimulationResult {
   std::uint64_t innocent = 0;            ///< innocent requests, without retries
   std::uint64_t rejected = 0;            ///< of these, rejected as poison while a server is alive
   std::uint64_t rejected_in_outage = 0;  ///< of these, rejected as poison while no server is alive
@@ -43,6 +43,6 @@
 /// Simulates one minute with eight gateways, which receive each other's crash reports after 6 ms.
 /// Requests run for 0.7 s on average, eight at a server; a tenth of them have one of five contents
 /// that many clients send. Each is sent to at most two servers, and its client tries twice.
-CrowdOutcome PlayCrowd(const CrowdPlan& config);
+SimulationResult RunSimulation(const SimulationConfig& config);
 
 }  // namespace ridgehold::test
--- a/libs/gateway/test/shortlist-test.cc
+++ b/libs/gateway/test/shortlist-test.cc
@@ -162,7 +162,7 @@
   BOOST_TEST(!Ids(Shortlist(query, engines)).contains(home->entry.id.value()));
   const BackendPtr next = Shortlist(query, engines)[0];
   for (const std::uint64_t other : {1, 2})
-    next->notice_state.NoteRestOfOther(other, kNow + 1s, kNow);
+    next->notice_state.RecordPeerBackoff(other, kNow + 1s, kNow);
   BOOST_TEST(!Ids(Shortlist(query, engines)).contains(next->entry.id.value()));
   for (const BackendPtr& engine : engines) engine->reachable = false;
   BOOST_TEST(!Shortlist(query, engines).empty());
--- a/libs/gateway/test/retry_allowance-test.cc
+++ b/libs/gateway/test/sliding_retry_budget-test.cc
@@ -1,4 +1,4 @@
-#include "gateway/retry_allowance.h"
+#include "gateway/sliding_retry_budget.h"
 
 #include <rapidcheck/boost_test.h>
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-const RetryBound kLimits{0.2, 56, 10s};
+const RetryBudgetLimits kLimits{0.2, 56, 10s};
 const ServiceId kService("s");
 const TimePoint kStart{1h};
 
@@ -48,7 +48,7 @@
 
 RC_BOOST_PROP(all_gateways_together_stay_within_the_limit_in_every_window, ()) {
   const auto gateways = *rc::gen::inRange(1, 12);
-  std::vector<RetryAllowance> all;
+  std::vector<SlidingRetryBudget> all;
   for (int i = 0; i < gateways; ++i) {
     all.emplace_back(kLimits);
     all.back().SetGateways(static_cast<std::uint32_t>(gateways), kStart);
@@ -65,7 +65,7 @@
       for (int request = 0; request < rate; ++request) {
         all[static_cast<std::size_t>(request % gateways)].Earn(kService, now);
       }
-      for (RetryAllowance& budget : all) {
+      for (SlidingRetryBudget& budget : all) {
         while (budget.Spend(kService, now)) ++retries;
       }
       totals.requests.push_back(rate);
@@ -78,7 +78,7 @@
 // Guards against aborted streams when an engine crashes although the last seconds' requests earned
 // enough retries.
 BOOST_AUTO_TEST_CASE(burst_may_use_budget_earned_in_the_last_window) {
-  RetryAllowance budget({0.2, 56, 10s});
+  SlidingRetryBudget budget({0.2, 56, 10s});
   budget.SetGateways(8, kStart);
   for (int i = 0; i < 100; ++i) budget.Earn(kService, kStart + i * 90ms);
   int allowed = 0;
@@ -87,7 +87,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(retries_before_the_window_do_not_count) {
-  RetryAllowance budget({0.2, 10, 10s});
+  SlidingRetryBudget budget({0.2, 10, 10s});
   while (budget.Spend(kService, kStart)) {
   }
   BOOST_TEST(!budget.Spend(kService, kStart + 9s));
@@ -95,7 +95,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(limit_holds_in_windows_that_start_at_any_time) {
-  RetryAllowance budget({0.2, 10, 10s});
+  SlidingRetryBudget budget({0.2, 10, 10s});
   while (budget.Spend(kService, kStart + 490ms)) {
   }
   BOOST_TEST(!budget.Spend(kService, kStart + 10s));
@@ -105,7 +105,7 @@
 }
 
 RC_BOOST_PROP(arrivals_stay_within_the_limit_in_every_window_despite_connect_delay, ()) {
-  RetryAllowance budget({0.2, 5, 10s});
+  SlidingRetryBudget budget({0.2, 5, 10s});
   std::vector<TimePoint> arrivals;
   TimePoint now = kStart;
   for (const int gap : *rc::gen::container<std::vector<int>>(60, rc::gen::inRange(0, 3'000))) {
@@ -121,7 +121,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(requests_earn_budget_for_one_window) {
-  RetryAllowance budget({0.2, 10, 10s});
+  SlidingRetryBudget budget({0.2, 10, 10s});
   for (int i = 0; i < 100; ++i) budget.Earn(kService, kStart);
   int allowed = 0;
   while (budget.Spend(kService, kStart + 10'001ms)) ++allowed;
@@ -129,9 +129,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(slack_is_divided_by_the_maximum_gateway_count_of_the_last_window) {
-  RetryAllowance budget({0.2, 80, 10s});
+  SlidingRetryBudget budget({0.2, 80, 10s});
   const auto allowed = [&](TimePoint now) {
-    RetryAllowance copy = budget;
+    SlidingRetryBudget copy = budget;
     int count = 0;
     while (copy.Spend(kService, now)) ++count;
     return count;
@@ -153,7 +153,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(services_do_not_share_a_budget) {
-  RetryAllowance budget({0.2, 5, 10s});
+  SlidingRetryBudget budget({0.2, 5, 10s});
   while (budget.Spend(ServiceId("a"), kStart)) {
   }
   BOOST_TEST(budget.Spend(ServiceId("b"), kStart));
--- a/libs/peers/include/peers/backend_gossip.h
+++ b/libs/peers/include/peers/backend_gossip.h
@@ -2,15 +2,16 @@
 
 #pragma once
 
-#include "gateway/backend_news.h"
+#include "gateway/pushback_update.h"
 #include "peers/gossip.h"
 
 namespace ridgehold {
 
-inline void AppendNews(BackendNewsList& to, const BackendNewsList& news, std::size_t max_items) {
+inline void AppendNews(PushbackUpdateList& to, const PushbackUpdateList& news,
+                       std::size_t max_items) {
   AppendItems(to.items, news.items, max_items);
 }
 
-using BackendGossip = Gossip<BackendNewsList>;
+using BackendGossip = Gossip<PushbackUpdateList>;
 
 }  // namespace ridgehold
--- a/libs/peers/include/peers/load_messages.h
+++ b/libs/peers/include/peers/load_messages.h
@@ -10,10 +10,10 @@
 #include <vector>
 
 #include "base/result.h"
-#include "gateway/backend_news.h"
 #include "gateway/gateway_gossip.h"
 #include "gateway/load_report.h"
-#include "gateway/poison_news.h"
+#include "gateway/poison_update.h"
+#include "gateway/pushback_update.h"
 #include "quota/quota_messages.h"
 
 namespace ridgehold {
@@ -43,13 +43,13 @@
 };
 
 /// Any datagram between gateways.
-using PeerMessage = std::variant<GossipMessage, LoadQuestionMessage, LoadAnswerMessage, PoisonNews,
-                                 BackendNewsList, QuotaMessage>;
+using PeerMessage = std::variant<GossipMessage, LoadQuestionMessage, LoadAnswerMessage,
+                                 PoisonUpdate, PushbackUpdateList, QuotaMessage>;
 
 std::string Encode(const LoadQuestionMessage& question);
 std::string Encode(const LoadAnswerMessage& answer);
-std::string Encode(const DaemonId& sender, const PoisonNews& news);
-std::string Encode(const DaemonId& sender, const BackendNewsList& news);
+std::string Encode(const DaemonId& sender, const PoisonUpdate& news);
+std::string Encode(const DaemonId& sender, const PushbackUpdateList& news);
 
 /// Fails with kMalformedPeerMessage.
 Result<PeerMessage> DecodePeerMessage(std::string_view bytes);
--- a/libs/peers/include/peers/peer_link.h
+++ b/libs/peers/include/peers/peer_link.h
@@ -109,7 +109,7 @@
   void SendToAll(const std::string& datagram);
   /// Applies backend notices from another gateway and, if the sender is behind, replies with newer
   /// ones. Only the trackers of the backend server reply, to avoid hundreds of replies.
-  void HandleBackendNotices(BackendNewsList news, const net::ip::address& sender, TimePoint now);
+  void HandleBackendNotices(PushbackUpdateList news, const net::ip::address& sender, TimePoint now);
   bool Tracks(BackendHash backend, TimePoint now) const;
   /// Records that the event loop has run, and detects a suspension before that.
   void DetectSuspension(TimePoint now);
--- a/libs/peers/include/peers/poison_gossip.h
+++ b/libs/peers/include/peers/poison_gossip.h
@@ -2,13 +2,13 @@
 
 #pragma once
 
-#include "gateway/poison_news.h"
+#include "gateway/poison_update.h"
 #include "peers/gossip.h"
 
 namespace ridgehold {
 
-void AppendNews(PoisonNews& to, const PoisonNews& news, std::size_t max_items);
+void AppendNews(PoisonUpdate& to, const PoisonUpdate& news, std::size_t max_items);
 
-using PoisonGossip = Gossip<PoisonNews>;
+using PoisonGossip = Gossip<PoisonUpdate>;
 
 }  // namespace ridgehold
--- a/libs/peers/src/load_query_service.cc
+++ b/libs/peers/src/load_query_service.cc
@@ -77,7 +77,7 @@
     BackendReport report = state_.ReportOn(*backend, asked, now);
     const bool own = question.daemon == options_.self;
     const LoadUpdate sender_load =
-        own ? state_.OwnLoadAt(*backend, now) : loads_.LoadOf(question.daemon, hash);
+        own ? state_.LocalLoadAt(*backend, now) : loads_.LoadOf(question.daemon, hash);
     PeerLoad& work = report.work;
     work.running -= std::min(work.running, sender_load.running);
     work.unread_tokens -= std::min(work.unread_tokens, sender_load.unread_tokens);
--- a/libs/peers/src/news_codec.cc
+++ b/libs/peers/src/news_codec.cc
@@ -163,8 +163,8 @@
   return decoded;
 }
 
-PoisonNews DecodePoisonNews(const wire::PoisonNews& message) {
-  PoisonNews news;
+PoisonUpdate DecodePoisonNews(const wire::PoisonNews& message) {
+  PoisonUpdate news;
   const int ends = std::min(message.ended_backends_size(), message.present_size());
   for (int i = 0; i < ends; ++i) {
     news.ends.push_back({message.ended_backends(i), RequestFingerprint(message.present(i))});
@@ -174,10 +174,10 @@
   return news;
 }
 
-BackendNewsList DecodeWords(const wire::GatewayNews& message) {
-  BackendNewsList news;
+PushbackUpdateList DecodeWords(const wire::GatewayNews& message) {
+  PushbackUpdateList news;
   for (const wire::BackendWord& word : message.words()) {
-    BackendNews item{word.backend(), word.number(), std::nullopt, word.leaving(), std::nullopt};
+    PushbackUpdate item{word.backend(), word.number(), std::nullopt, word.leaving(), std::nullopt};
     if (word.limited()) item.limit = RequestRate::FromThousandths(word.limit());
     if (word.rest_left_ms() > 0) item.rest_left = std::chrono::milliseconds(word.rest_left_ms());
     news.items.push_back(item);
@@ -239,11 +239,11 @@
   return message.SerializeAsString();
 }
 
-std::string Encode(const DaemonId& sender, const PoisonNews& news) {
+std::string Encode(const DaemonId& sender, const PoisonUpdate& news) {
   wire::GatewayNews message;
   message.set_daemon(sender.value());
   wire::PoisonNews& body = *message.mutable_poison();
-  for (const EndNews& end : news.ends) {
+  for (const CrashReport& end : news.ends) {
     body.add_ended_backends(end.backend);
     body.add_present(end.request.value());
   }
@@ -252,10 +252,10 @@
   return message.SerializeAsString();
 }
 
-std::string Encode(const DaemonId& sender, const BackendNewsList& news) {
+std::string Encode(const DaemonId& sender, const PushbackUpdateList& news) {
   wire::GatewayNews message;
   message.set_daemon(sender.value());
-  for (const BackendNews& item : news.items) {
+  for (const PushbackUpdate& item : news.items) {
     wire::BackendWord& word = *message.add_words();
     word.set_backend(item.backend);
     word.set_number(item.number);
--- a/libs/peers/src/peer_link.cc
+++ b/libs/peers/src/peer_link.cc
@@ -48,7 +48,7 @@
       incarnation_(std::random_device{}()) {}
 
 net::awaitable<void> PeerLink::Send() {
-  state_.SetPlacedListener([this] { timer_.cancel(); });
+  state_.SetPlacementListener([this] { timer_.cancel(); });
   state_.SetLoadListener([this] {
     if (state_.asks_first() && !std::exchange(tracker_update_pending_, true)) timer_.cancel();
   });
@@ -60,19 +60,19 @@
     if (now >= NextSend()) state_.asks_first() ? SendToTrackers(now) : Broadcast(now);
     co_await WaitUntil(timer_, NextSend());
   }
-  state_.SetPlacedListener({});
+  state_.SetPlacementListener({});
   state_.SetLoadListener({});
 }
 
 net::awaitable<void> PeerLink::SendGossip() {
-  state_.poison().SetNewsListener([this] { gossip_timer_.cancel(); });
-  state_.words().SetNewsListener([this] { gossip_timer_.cancel(); });
+  state_.poison().SetUpdateListener([this] { gossip_timer_.cancel(); });
+  state_.words().SetUpdateListener([this] { gossip_timer_.cancel(); });
   while (!stopped_) {
     const TimePoint now = Clock::now();
     poison_gossip_.Add(state_.poison().TakeNews(), now);
     backend_gossip_.Add(state_.words().TakeNews(), now);
-    const PoisonNews poison = poison_gossip_.TakeDue(now);
-    const BackendNewsList words = state_.words().Refreshed(backend_gossip_.TakeDue(now), now);
+    const PoisonUpdate poison = poison_gossip_.TakeDue(now);
+    const PushbackUpdateList words = state_.words().Refreshed(backend_gossip_.TakeDue(now), now);
     ApplyMembership();
     if (!poison.empty()) SendToAll(Encode(options_.self, poison));
     if (!words.empty()) SendToAll(Encode(options_.self, words));
@@ -80,23 +80,24 @@
     co_await WaitUntil(gossip_timer_,
                        std::min(poison_gossip_.NextDue(next), backend_gossip_.NextDue(next)));
   }
-  state_.poison().SetNewsListener({});
-  state_.words().SetNewsListener({});
+  state_.poison().SetUpdateListener({});
+  state_.words().SetUpdateListener({});
 }
 
 void PeerLink::SendToAll(const std::string& datagram) {
   for (const net::ip::address& peer : peers_) SendTo(peer, datagram);
 }
 
-void PeerLink::HandleBackendNotices(BackendNewsList news, const net::ip::address& sender,
+void PeerLink::HandleBackendNotices(PushbackUpdateList news, const net::ip::address& sender,
                                     TimePoint now) {
   // A cool-down is sent as its remaining time, which is wrong in a delayed message.
   if (now < stale_until_) {
-    for (BackendNews& item : news.items) item.rest_left.reset();
+    for (PushbackUpdate& item : news.items) item.rest_left.reset();
   }
   const std::uint64_t gateway = std::hash<std::string>{}(sender.to_string());
-  BackendNewsList newer = state_.words().Take(news, gateway, now);
-  std::erase_if(newer.items, [&](const BackendNews& item) { return !Tracks(item.backend, now); });
+  PushbackUpdateList newer = state_.words().Take(news, gateway, now);
+  std::erase_if(newer.items,
+                [&](const PushbackUpdate& item) { return !Tracks(item.backend, now); });
   if (!newer.empty()) SendTo(sender, Encode(options_.self, newer));
 }
 
@@ -173,7 +174,7 @@
   std::vector<LoadUpdate> loads;
   const TimePoint now = Clock::now();
   for (const auto& [id, backend] : state_.directory().all()) {
-    if (backend->in_flight > 0) loads.push_back(state_.OwnLoadAt(*backend, now));
+    if (backend->in_flight > 0) loads.push_back(state_.LocalLoadAt(*backend, now));
   }
   return loads;
 }
@@ -246,11 +247,11 @@
     return;
   }
   // Valid at any age.
-  if (const auto* poison = std::get_if<PoisonNews>(&message)) {
+  if (const auto* poison = std::get_if<PoisonUpdate>(&message)) {
     return state_.poison().Take(*poison, now);
   }
   // Stale messages are detected by their version number, except for cool-downs.
-  if (const auto* words = std::get_if<BackendNewsList>(&message)) {
+  if (const auto* words = std::get_if<PushbackUpdateList>(&message)) {
     return HandleBackendNotices(*words, sender.address(), now);
   }
   if (now < stale_until_) return;
--- a/libs/peers/src/peer_loads.cc
+++ b/libs/peers/src/peer_loads.cc
@@ -58,7 +58,7 @@
 }
 
 void PeerLoads::ApplyItems(const GossipItems& items, TimePoint now) {
-  for (const PlacementUpdate& placed : items.placed) state_.TakePlaced(placed, now);
+  for (const PlacementUpdate& placed : items.placed) state_.ApplyPlacement(placed, now);
   for (const HoldUpdate& hold : items.holds) {
     if (const BackendPtr backend = state_.directory().FindByHash(hold.backend)) {
       backend->hold_until = now + hold.duration;
--- a/libs/peers/test/peers-test.cc
+++ b/libs/peers/test/peers-test.cc
@@ -81,13 +81,13 @@
 }
 
 BOOST_AUTO_TEST_CASE(backend_notices_round_trip) {
-  BackendNewsList sent;
+  PushbackUpdateList sent;
   sent.items.push_back(
       {5, 3, RequestRate::FromPerSecond(1.2), true, std::chrono::milliseconds(2'500)});
   sent.items.push_back({6, 1, std::nullopt, false, std::nullopt});
   const auto decoded = DecodePeerMessage(Encode(DaemonId("d1"), sent));
   BOOST_REQUIRE(static_cast<bool>(decoded));
-  const auto* news = std::get_if<BackendNewsList>(&*decoded);
+  const auto* news = std::get_if<PushbackUpdateList>(&*decoded);
   BOOST_REQUIRE(news != nullptr);
   BOOST_TEST((news->items == sent.items));
 }
--- a/libs/quota/include/quota/quota_holder.h
+++ b/libs/quota/include/quota/quota_holder.h
@@ -150,8 +150,8 @@
   bool AskNextLender(Account& account, QuotaAmount missing, QuotaOutbox& outbox, TimePoint now);
   void SendReply(Account& account, const QueuedRequest& done, QuotaGrant grant, QuotaOutbox& outbox,
                  TimePoint now);
-  QuotaReply MakeRefusal(Account& account, const QuotaRequest& request, QuotaAmount available,
-                         TimePoint now);
+  QuotaReply MakeErrorResponse(Account& account, const QuotaRequest& request, QuotaAmount available,
+                               TimePoint now);
   /// Refill rate of all shares together, in units per microsecond.
   QuotaAmount RefillPerMicrosecond(const Account& account) const;
   static void ReturnLoans(const std::vector<QuotaLoan>& loans, QuotaOutbox& outbox);
--- a/libs/quota/src/quota_holder.cc
+++ b/libs/quota/src/quota_holder.cc
@@ -47,7 +47,7 @@
   } else if (account.waiting.size() >= kMaxWaiting ||
              IsKnownShortage(account, request.amount, now)) {
     const QuotaAmount available = account.shortage ? account.shortage->amount : 0;
-    grant.reply = MakeRefusal(account, request, available, now);
+    grant.reply = MakeErrorResponse(account, request, available, now);
     SendReply(account, queued, std::move(grant), outbox, now);
   } else {
     account.waiting.push_back(queued);
@@ -124,7 +124,7 @@
   const QuotaAmount available = account.bucket.Available(now) + borrowing.borrowed;
   ReturnLoans(borrowing.loans, outbox);
   account.shortage = Shortage{available, now};
-  grant.reply = MakeRefusal(account, first.request, available, now);
+  grant.reply = MakeErrorResponse(account, first.request, available, now);
   SendReply(account, first, std::move(grant), outbox, now);
   return true;
 }
@@ -218,8 +218,8 @@
   ledger_.Add(done.request.id, std::move(grant), now);
 }
 
-QuotaReply QuotaHolder::MakeRefusal(Account& account, const QuotaRequest& request,
-                                    QuotaAmount available, TimePoint now) {
+QuotaReply QuotaHolder::MakeErrorResponse(Account& account, const QuotaRequest& request,
+                                          QuotaAmount available, TimePoint now) {
   // Spreads the retry times of refused callers at the refill rate.
   const QuotaAmount refill_per_us = std::max<QuotaAmount>(1, RefillPerMicrosecond(account));
   const bool first = account.last_retry_at <= now;
--- a/model/fleet_model.cc
+++ b/model/fleet_model.cc
@@ -82,8 +82,8 @@
     engines_.emplace(entry.id, EngineModel(pattern_.figures));
     if (i >= pattern_.engines_limited) continue;
     Backend& backend = *state_.directory().Find(entry.id);
-    const BackendNotice notice{RequestRate::FromPerSecond(pattern_.limit), false, false,
-                               std::nullopt};
+    const BackendPushback notice{RequestRate::FromPerSecond(pattern_.limit), false, false,
+                                 std::nullopt};
     state_.words().Note(backend, notice, start_, start_);
     granted_.emplace(entry.id, TokenBucket(state_.words().TermsFor(backend), start_));
   }
@@ -180,7 +180,7 @@
     outcome.verdict = QuotaVerdict::kOverQuota;
     outcome.retry_after = kStep;
   }
-  return JudgePermit(*backend, outcome, {}, now_) == PermitVerdict::kGranted;
+  return ResolvePermit(*backend, outcome, {}, now_) == PermitVerdict::kGranted;
 }
 
 /// As BackendSearch does.
@@ -221,7 +221,7 @@
   }
   ++open.backend->in_flight;
   open.backend->unprefilled_tokens += open.tokens_to_prefill;
-  state_.TakePlaced(PlacementUpdateOf(open.plan, open.request, *choice), now_);
+  state_.ApplyPlacement(PlacementUpdateOf(open.plan, open.request, *choice), now_);
   engines_.at(open.backend->entry.id).Send(std::move(request), now_);
   return true;
 }
--- a/model/limit_ways.cc
+++ b/model/limit_ways.cc
@@ -158,7 +158,7 @@
 
   void Arrive(std::size_t i) {
     Instance& instance = *instances_[i];
-    const BackendWord& word = instance.backend.notice_state;
+    const PushbackState& word = instance.backend.notice_state;
     if (Cut(ZoneOf(i), 0) || word.Bars(now())) return;
     if (!word.limit()) return Send(i);
     const bool known = counting_.has_value();
@@ -194,8 +194,8 @@
     const TimePoint began = instance.asking.extract(number).mapped();
     asking_ms_.push_back(std::chrono::duration<double, std::milli>(now() - began).count());
     if (Down(i)) return;
-    const PermitAsker asker{1'000 + i, static_cast<std::uint32_t>(instances_.size())};
-    const PermitVerdict verdict = JudgePermit(instance.backend, *outcome, asker, now());
+    const PermitRequester asker{1'000 + i, static_cast<std::uint32_t>(instances_.size())};
+    const PermitVerdict verdict = ResolvePermit(instance.backend, *outcome, asker, now());
     if (Permit{verdict, {}, {}}.MaySend()) Send(i);
   }
 
@@ -208,14 +208,14 @@
       const auto limit = Named();
       arrivals_.push_back({now(), told, instance.backend.notice_state.limit().has_value(),
                            limit ? limit->per_second() : 0});
-      const BackendNotice notice{limit, false, false, std::nullopt};
+      const BackendPushback notice{limit, false, false, std::nullopt};
       At(now() + milliseconds(20) + Exponential(50), [this, i, sent, life, notice] {
         if (!Down(i) && instances_[i]->restarts == life) Answer(i, notice, sent);
       });
     });
   }
 
-  void Answer(std::size_t i, const BackendNotice& notice, TimePoint sent) {
+  void Answer(std::size_t i, const BackendPushback& notice, TimePoint sent) {
     Instance& instance = *instances_[i];
     if (notice.limit && !instance.told) instance.told = now();
     if (notice.limit && !first_named_) first_named_ = now();
@@ -230,16 +230,16 @@
   }
 
   void Tell(std::size_t i) {
-    const BackendNews news = instances_[i]->backend.notice_state.News(kBackendHash);
+    const PushbackUpdate news = instances_[i]->backend.notice_state.News(kBackendHash);
     for (std::size_t to = 0; to < instances_.size(); ++to) {
       if (to != i) TellOne(i, to, news);
     }
   }
 
-  void TellOne(std::size_t from, std::size_t to, const BackendNews& news) {
+  void TellOne(std::size_t from, std::size_t to, const PushbackUpdate& news) {
     Carry(from, to, [this, from, to, news] {
       Instance& instance = *instances_[to];
-      const BackendNews better = instance.backend.notice_state.News(kBackendHash);
+      const PushbackUpdate better = instance.backend.notice_state.News(kBackendHash);
       const bool behind = instance.backend.notice_state.TakeNews(news, now());
       NoteKnown(to);
       // As those do that track the backend server.
--- a/model/rest_ways.cc
+++ b/model/rest_ways.cc
@@ -6,7 +6,7 @@
 #include <functional>
 #include <optional>
 
-#include "gateway/backend_word.h"
+#include "gateway/pushback_state.h"
 #include "model/virtual_time.h"
 
 namespace ridgehold::model {
@@ -39,7 +39,7 @@
 };
 
 struct Instance {
-  std::vector<BackendWord> words;       ///< by server
+  std::vector<PushbackState> words;     ///< by server
   std::vector<TimePoint> barred_until;  ///< by server, if all heed what one was asked for
   double retries = kMostRetries;
 };
@@ -116,7 +116,7 @@
     for (std::size_t k = 0; k < servers_.size(); ++k) {
       const std::size_t s = (first + k) % servers_.size();
       if (instance.words[s].Bars(now()) || now() < instance.barred_until[s]) continue;
-      const bool doubted = now() < instance.words[s].doubted_until();
+      const bool doubted = now() < instance.words[s].deprioritized_until();
       const int load = servers_[s].pictured + (doubted ? kDoubt : 0);
       if (best && load >= least) continue;
       best = s;
@@ -166,7 +166,7 @@
   }
 
   void TakeRefusal(std::size_t s, const Request& request) {
-    BackendNotice notice;
+    BackendPushback notice;
     notice.rest = kRest;
     instances_[request.instance].words[s].TakeNotice(notice, now(), now());
     Tell(s, request.instance);
@@ -174,9 +174,9 @@
   }
 
   void Tell(std::size_t s, std::size_t from) {
-    const BackendWord& word = instances_[from].words[s];
+    const PushbackState& word = instances_[from].words[s];
     const bool tells = play_.way == RestWay::kToldBar ||
-                       (play_.way == RestWay::kToldTwice && word.TellsRest(now()));
+                       (play_.way == RestWay::kToldTwice && word.ShouldShareBackoff(now()));
     if (!tells) return;
     const TimePoint until = word.rest_until();
     for (std::size_t i = 0; i < instances_.size(); ++i) {
@@ -189,7 +189,7 @@
 
   void Hear(Instance& instance, std::size_t s, std::size_t from, TimePoint until) {
     if (play_.way == RestWay::kToldTwice) {
-      instance.words[s].NoteRestOfOther(from + 1, until, now());
+      instance.words[s].RecordPeerBackoff(from + 1, until, now());
     } else {
       instance.barred_until[s] = std::max(instance.barred_until[s], until);
     }
--- a/programs/ridgehold-model.cc
+++ b/programs/ridgehold-model.cc
@@ -19,7 +19,7 @@
   std::vector<std::string> patterns;
   std::uint32_t seed = 1;
   std::uint32_t seeds = 1;
-  AdmissionRule admission;
+  AdmissionOptions admission;
   PlacementCosts placement;
   bool spare_limited = true;
   LimitTolerance tolerance;
--- a/test/peer_link-test.cc
+++ b/test/peer_link-test.cc
@@ -52,7 +52,7 @@
 
   void Place(std::uint64_t part) {
     ++backend().in_flight;
-    state.TellPlaced({HashOf(BackendId("b")), 100, 10, {{part, 90}}});
+    state.PublishPlacement({HashOf(BackendId("b")), 100, 10, {{part, 90}}});
   }
 };
 
@@ -115,7 +115,7 @@
     question.model = ModelId("m");
     LoadAnswer answer;
     bool done = false;
-    net::co_spawn(io, gateway.state.AskLoads(question), [&](std::exception_ptr, LoadAnswer got) {
+    net::co_spawn(io, gateway.state.QueryLoads(question), [&](std::exception_ptr, LoadAnswer got) {
       answer = std::move(got);
       done = true;
     });
@@ -129,8 +129,8 @@
   BOOST_REQUIRE(other->state.asks_first());
   other->Place(7);
   tracker->Place(8);
-  tracker->state.NoteLoadChange();
-  other->state.NoteLoadChange();
+  tracker->state.NotifyLoadChanged();
+  other->state.NotifyLoadChanged();
   io.run_for(30ms);
   BOOST_TEST(tracker->backend().direct_peers.running == 1U);
   const LoadAnswer answer = Ask(*other, 8);
@@ -147,11 +147,11 @@
 
 BOOST_FIXTURE_TEST_CASE(hold_and_end_of_load_reach_the_tracker, TrackedFixture) {
   other->Place(7);
-  other->state.NoteLoadChange();
+  other->state.NotifyLoadChanged();
   io.run_for(30ms);
   other->state.Hold(other->backend(), 2s, Clock::now());
   other->backend().in_flight = 0;
-  other->state.NoteLoadChange();
+  other->state.NotifyLoadChanged();
   io.run_for(30ms);
   BOOST_TEST(tracker->backend().direct_peers.running == 0U);
   BOOST_TEST((tracker->backend().hold_until > Clock::now() + 1s));
