--- a/libs/base/include/base/base64.h
+++ b/libs/base/include/base/base64.h
@@ -1,4 +1,4 @@
-// Base64, as etcd's JSON gateway carries keys and values.
+// Base64, the encoding of keys and values in etcd's JSON gateway.
 
 #pragma once
 
@@ -10,7 +10,7 @@
 
 std::string Base64Encode(std::string_view bytes);
 
-/// Returns nothing when `text` is not base64.
+/// Returns nullopt if `text` is not valid base64.
 std::optional<std::string> Base64Decode(std::string_view text);
 
 }  // namespace ridgehold
--- a/libs/base/include/base/clock.h
+++ b/libs/base/include/base/clock.h
@@ -1,4 +1,4 @@
-// The clock of all decisions.
+// The monotonic clock for timeouts, leases and other time-based decisions.
 
 #pragma once
 
@@ -7,15 +7,15 @@
 
 namespace ridgehold {
 
-/// Never set back, and counts the time for which the machine is suspended. The standard
-/// library's steady clock stands still then, on Linux: after ten seconds asleep an instance
-/// took a lease for held and a key for current that others had long been given.
+/// A monotonic clock that also counts time while the machine is suspended. On Linux
+/// std::chrono::steady_clock stops during suspension: after being suspended for ten seconds an
+/// instance treated a lease as held and a key as current although others had acquired both.
 struct Clock {
   using duration = std::chrono::nanoseconds;
   using rep = duration::rep;
   using period = duration::period;
   using time_point = std::chrono::time_point<Clock>;
-  static constexpr bool is_steady = true;  // NOLINT: the standard's name for it
+  static constexpr bool is_steady = true;  // NOLINT: name required by the Clock concept
 
   static time_point now() noexcept {
     timespec time{};
--- a/libs/base/include/base/ids.h
+++ b/libs/base/include/base/ids.h
@@ -1,4 +1,4 @@
-// Ids and units used all over the system.
+// Strongly typed ids and time types used throughout the system.
 
 #pragma once
 
@@ -13,7 +13,7 @@
 
 using WorkspaceId = Strong<struct WorkspaceIdTag, std::string>;
 using ModelId = Strong<struct ModelIdTag, std::string>;
-/// The version of a model's weights, adapter included, as the operator names it.
+/// Operator-assigned name of a version of a model's weights, including its adapter.
 using WeightsVersion = Strong<struct WeightsVersionTag, std::string>;
 using BackendId = Strong<struct BackendIdTag, std::string>;
 using RuleId = Strong<struct RuleIdTag, std::string>;
@@ -23,15 +23,15 @@
 using RequestId = Strong<struct RequestIdTag, std::string>;
 using ChangeId = Strong<struct ChangeIdTag, std::string>;
 
-/// Differs after each restart of a process, so that a successor on the same
-/// address is told from its predecessor.
+/// Changes with every restart of a process, to distinguish a restarted process from its
+/// predecessor on the same address.
 using Incarnation = Strong<struct IncarnationTag, std::string>;
 
-/// When a backend server's process started, as it says itself, in Unix
-/// milliseconds; 0: not known. Of two incarnations with one id the later counts.
+/// Start time of a backend server's process as the server reports it, in Unix milliseconds;
+/// 0 if unknown. Of two incarnations with the same id, the one that started later is current.
 using StartStamp = Strong<struct StartStampTag, std::uint64_t>;
 
-/// The configuration's revision: 0 is empty, and each accepted change adds 1.
+/// Revision of the configuration: 0 for the empty one, incremented by each accepted change.
 using Revision = Strong<struct RevisionTag, std::uint64_t>;
 
 using TimePoint = Clock::time_point;
--- a/libs/base/include/base/lease_clock.h
+++ b/libs/base/include/base/lease_clock.h
@@ -1,4 +1,4 @@
-// How long the holder of a lease may act on it, by its own monotonic clock.
+// Lease validity as tracked by the lease holder's monotonic clock.
 
 #pragma once
 
@@ -9,20 +9,20 @@
 
 namespace ridgehold {
 
-/// The platform counts a lease from when it served the call, which is at or
-/// after the moment the call was begun here; so counting from that moment is
-/// safe. A margin covers clocks that run at different speeds. Not thread-safe.
+/// The platform starts a lease's time to live when it serves the call, which is never before
+/// the call was started here, so counting from the start of the call is safe. A margin covers
+/// clock drift. Not thread-safe.
 class LeaseClock {
  public:
-  /// Part of the time to live that is not used.
+  /// The margin is the time to live divided by this.
   static constexpr int kMarginDivisor = 5;
 
-  /// A grant or keep-alive begun at `begun` has succeeded.
-  void Renew(TimePoint begun, std::chrono::milliseconds ttl) {
-    held_until_ = std::max(held_until_, begun + ttl - ttl / kMarginDivisor);
+  /// Records that a grant or keep-alive call started at `call_start` has succeeded.
+  void Renew(TimePoint call_start, std::chrono::milliseconds ttl) {
+    held_until_ = std::max(held_until_, call_start + ttl - ttl / kMarginDivisor);
   }
 
-  /// The lease is given up, or known to have ended.
+  /// Records that the lease was released or is known to have ended.
   void Drop() { held_until_ = {}; }
 
   /// Whether the lease is certainly held at `now`.
--- a/libs/base/include/base/parse_number.h
+++ b/libs/base/include/base/parse_number.h
@@ -1,4 +1,4 @@
-// Numbers out of text that must be nothing else.
+// Strict conversion of text to numbers.
 
 #pragma once
 
@@ -10,8 +10,8 @@
 
 namespace ridgehold {
 
-/// Returns nothing unless the whole of `text` is one number of this type; `base` is for
-/// whole numbers.
+/// Parses `text`, all of which must be one number that fits `Number`; otherwise returns nullopt.
+/// `base` applies to integers only.
 template <class Number>
 std::optional<Number> ParseNumber(std::string_view text, int base = 10) {
   Number number = 0;
--- a/libs/base/include/base/result.h
+++ b/libs/base/include/base/result.h
@@ -1,4 +1,4 @@
-// Results: a value or a Failure, carried by Boost.LEAF.
+// Result<T>: a value or a Failure, based on Boost.LEAF.
 
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace ridgehold {
 
-/// Why an operation failed: a numbered code and a sentence for people.
+/// Why an operation failed: a result code and a human-readable message.
 struct Failure {
   ResultCode code = ResultCode::kInternal;
   std::string detail;
@@ -21,18 +21,18 @@
 template <class T>
 using Result = boost::leaf::result<T>;
 
-/// Starts a failed result: `return Fail(ResultCode::kSyntax, "line 3: ...");`
+/// Returns a failed result: `return Fail(ResultCode::kSyntax, "line 3: ...");`
 inline boost::leaf::error_id Fail(ResultCode code, std::string detail) {
   return boost::leaf::new_error(Failure{code, std::move(detail)});
 }
 
-/// Passes an existing failure on as a failed result.
+/// Returns an existing failure as a failed result.
 inline boost::leaf::error_id Fail(Failure failure) {
   return boost::leaf::new_error(std::move(failure));
 }
 
-/// Runs `operation`, which returns a Result; on failure returns what
-/// `on_failure(const Failure&)` makes of it.
+/// Runs `operation`, which returns a Result, and returns its value. On failure returns
+/// `on_failure(const Failure&)` instead.
 ///
 ///     int port = ValueOr([&] { return ParsePort(text); },
 ///                        [](const Failure&) { return 0; });
@@ -46,11 +46,11 @@
       });
 }
 
-/// Runs `operation`, which returns a Result; a failure is replaced by the one
-/// that `change(const Failure&)` returns.
+/// Runs `operation`, which returns a Result, and replaces its failure, if any, by
+/// `change(const Failure&)`.
 ///
-/// The new failure is made outside of LEAF's handler: a handler's own error
-/// would be overwritten when the old one is propagated.
+/// The new failure is created outside of LEAF's error handler: an error created inside the
+/// handler would be overwritten when the original one is propagated.
 template <class Operation, class Change>
 auto MapFailure(Operation&& operation, Change&& change) -> decltype(operation()) {
   using Value = std::decay_t<decltype(operation().value())>;
--- a/libs/base/include/base/result_code.h
+++ b/libs/base/include/base/result_code.h
@@ -1,4 +1,4 @@
-// Numbered result codes: what every refusal or failure is called, and whether the request ran.
+// Result codes of rejected and failed requests, and whether the request was executed.
 
 #pragma once
 
@@ -8,24 +8,24 @@
 
 namespace ridgehold {
 
-/// What is known of the execution of a request that ended with a code.
+/// What a result code says about the execution of the request.
 enum class Execution : std::uint8_t {
   kNotRun,   ///< no backend server has executed it
   kRan,      ///< a backend server executed it
   kUnknown,  ///< a backend server may have executed it
 };
 
-/// What the caller may do next.
+/// Whether the caller may retry.
 enum class RetryAdvice : std::uint8_t {
   kNever,             ///< the same request will fail again
   kLater,             ///< retry after the time in `Retry-After`
-  kOnlyIfIdempotent,  ///< retry only where running twice is harmless
+  kOnlyIfIdempotent,  ///< retry only if executing the request twice is harmless
 };
 
 /// Numbered result codes. The numbers are stable; docs/RESULT-CODES.md lists them.
 enum class ResultCode : std::uint16_t {
   kOk = 0,
-  // 1xxx: the request itself is at fault.
+  // 1xxx: errors in the request itself.
   kMalformedRequest = 1001,
   kUnauthorized = 1002,
   kUnknownModel = 1003,
@@ -37,7 +37,7 @@
   kHeaderTooLarge = 1009,
   kRequestTooSlow = 1010,
   kOverBurst = 1011,
-  // 2xxx: refused by admission; nothing was sent to a backend server.
+  // 2xxx: rejected by admission control; nothing was sent to a backend server.
   kOverloaded = 2001,
   kWorkspaceLimit = 2002,
   kDeadlineUnreachable = 2003,
@@ -47,7 +47,7 @@
   kNotStartedInTime = 2007,
   kOverQuota = 2008,
   kQuotaUnknown = 2009,
-  // 3xxx: backend servers.
+  // 3xxx: errors of, or on the way to, backend servers.
   kNoBackend = 3001,
   kBackendRefused = 3002,
   kBackendUnreachable = 3003,
@@ -59,21 +59,21 @@
   kWeightsPastLimit = 3009,
   kPoisonRequest = 3010,
   kBackendsAtLimit = 3011,
-  // 4xxx: the platform's key-value service.
+  // 4xxx: errors of the platform's key-value service.
   kPlatformUnavailable = 4001,
   kPlatformAnswerLost = 4002,
   kPlatformMalformed = 4003,
   kOutcomeUnknown = 4004,
-  // 5xxx: configuration and operators.
+  // 5xxx: errors in configuration and operator commands.
   kSyntax = 5001,
   kInvalidCommand = 5002,
   kRevisionConflict = 5003,
   kUnresolvedChange = 5004,
   kStaleStore = 5005,
   kInvalidSettings = 5006,
-  // 6xxx: between daemons.
+  // 6xxx: errors between daemons.
   kMalformedPeerMessage = 6001,
-  // 9xxx: faults of our own.
+  // 9xxx: internal errors.
   kInternal = 9001,
 };
 
@@ -82,15 +82,15 @@
   ResultCode code;
   std::string_view name;         ///< stable name, as in the JSON error's `code`
   int http_status;               ///< status sent to callers
-  Execution execution;           ///< what is known of the request's execution
-  RetryAdvice retry;             ///< what the caller may do
-  std::string_view explanation;  ///< one sentence for the docs
+  Execution execution;           ///< whether the request was executed
+  RetryAdvice retry;             ///< whether the caller may retry
+  std::string_view explanation;  ///< one sentence, as in docs/RESULT-CODES.md
 };
 
-/// Returns the row for `code`; unknown values give the row of kInternal.
+/// Returns the row for `code`, or the row for kInternal if `code` is unknown.
 const ResultCodeInfo& Describe(ResultCode code);
 
-/// Returns every row, in the order of the numbers.
+/// Returns all rows.
 std::span<const ResultCodeInfo> AllResultCodes();
 
 /// Returns `not run`, `ran` or `unknown`.
--- a/libs/base/include/base/strong.h
+++ b/libs/base/include/base/strong.h
@@ -1,4 +1,4 @@
-// Strong types: ids and quantities that cannot be mixed up.
+// Strong typedefs: ids and quantities that cannot be mixed up.
 
 #pragma once
 
@@ -11,7 +11,7 @@
 
 namespace ridgehold {
 
-/// A value of `Rep` that only converts to its own kind.
+/// Wraps a `Rep`. Types with different tags do not convert to each other or to `Rep`.
 ///
 ///     using Tokens = Strong<struct TokensTag, std::uint64_t>;
 template <class Tag, class Rep>
--- a/libs/base/src/base64.cc
+++ b/libs/base/src/base64.cc
@@ -12,7 +12,7 @@
 
 std::string Base64Encode(std::string_view bytes) {
   const std::size_t groups = (bytes.size() + kBytesPerGroup - 1) / kBytesPerGroup;
-  // OpenSSL writes a final zero byte; std::string has room for just that.
+  // OpenSSL also writes a terminating zero byte, for which std::string has room.
   std::string text(groups * kCharsPerGroup, '\0');
   EVP_EncodeBlock(reinterpret_cast<unsigned char*>(text.data()),
                   reinterpret_cast<const unsigned char*>(bytes.data()),
@@ -27,7 +27,7 @@
                                    reinterpret_cast<const unsigned char*>(text.data()),
                                    static_cast<int>(text.size()));
   if (size < 0) return std::nullopt;
-  // OpenSSL counts the padding's zero bytes as data.
+  // OpenSSL counts the zero bytes decoded from the padding as data.
   std::size_t padding = 0;
   while (padding < 2 && padding < text.size() && text[text.size() - 1 - padding] == '=') ++padding;
   bytes.resize(static_cast<std::size_t>(size) - padding);
--- a/libs/base/src/random_id.cc
+++ b/libs/base/src/random_id.cc
@@ -26,7 +26,7 @@
 std::string RandomId() {
   constexpr int kBytes = 16;
   std::array<unsigned char, kBytes> bytes{};
-  // Ids must be unique; without a random source nothing can be promised.
+  // Ids must be unique, which cannot be guaranteed without a random source.
   if (RAND_bytes(bytes.data(), kBytes) != 1) std::abort();
   return ToHex(bytes);
 }
--- a/libs/base/test/result_code-test.cc
+++ b/libs/base/test/result_code-test.cc
@@ -18,7 +18,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(documentation_has_exactly_the_rows_of_the_code) {
+BOOST_AUTO_TEST_CASE(documented_table_matches_the_code) {
   std::ifstream file(RIDGEHOLD_SOURCE_DIR "/docs/RESULT-CODES.md");
   std::ostringstream page;
   page << file.rdbuf();
--- a/libs/control/include/control/rollout_controller.h
+++ b/libs/control/include/control/rollout_controller.h
@@ -242,7 +242,7 @@
     const TimePoint now = Clock::now();
     backed_off_[step.engine->entry.id] = now + options_.unresponsive_backoff;
     // Possibly only the pooled connections are unresponsive, and the engine accepts new ones.
-    state_.pool().Forget(step.engine->entry.address);
+    state_.pool().CloseIdle(step.engine->entry.address);
     BackendDirectory::RecordFailure(*step.engine, now);
   }
 
--- a/libs/control/src/store_item_applier.cc
+++ b/libs/control/src/store_item_applier.cc
@@ -57,7 +57,7 @@
   const bool returned = !is_new && known->grace_until.has_value();
   const Registration registration = state_.directory().Put(entry);
   // The pooled connections belong to the previous process.
-  if (registration == Registration::kRestarted) state_.pool().Forget(entry.address);
+  if (registration == Registration::kRestarted) state_.pool().CloseIdle(entry.address);
   if (registration == Registration::kChanged && !starts_draining && !returned) return;
   const char* event =
       starts_draining ? "backend draining" : (is_new ? "backend added" : "backend returned");
@@ -107,7 +107,7 @@
   const BackendPtr known = state_.directory().Find(id);
   if (!known) return;
   state_.directory().Remove(id, grace, now);
-  state_.pool().Forget(known->entry.address);
+  state_.pool().CloseIdle(known->entry.address);
   Log(LogLevel::kInfo, "backend missing",
       {{"backend", id.value()},
        {"address", known->entry.address},
--- a/libs/daemon/src/daemon.cc
+++ b/libs/daemon/src/daemon.cc
@@ -103,7 +103,8 @@
   explicit Impl(const Settings& daemon_settings)
       : settings(daemon_settings),
         identity{settings.daemon, settings.zone, MakeIncarnation()},
-        router(settings.zone, kOtherZoneDistance, settings.picture_bytes / kPictureBytesPerBlock),
+        router(settings.zone, kOtherZoneDistance,
+               settings.cache_index_bytes / kPictureBytesPerBlock),
         in_flight(settings.max_in_flight) {}
 
   Settings settings;
--- a/libs/entry/include/entry/entry_instance.h
+++ b/libs/entry/include/entry/entry_instance.h
@@ -379,7 +379,7 @@
     bool was_ready = false;
     while (!stopped_) {
       const TimePoint now = Clock::now();
-      state_.pool().Sweep(now);
+      state_.pool().CloseExpired(now);
       state_.SetReportingGateways(peers_->active_peers());
       for (const BackendId& id : state_.directory().Expire(now)) {
         Log(LogLevel::kInfo, "backend removed after its grace period", {{"backend", id.value()}});
--- a/libs/gateway/include/gateway/exchange.h
+++ b/libs/gateway/include/gateway/exchange.h
@@ -282,7 +282,7 @@
   /// skipped.
   net::awaitable<AttemptOutcome> ReadAnswer() {
     relay_.StartAttempt();
-    for (int foreign = 0; foreign <= OutboundConnection::kMostForeignAnswers; ++foreign) {
+    for (int foreign = 0; foreign <= OutboundConnection::kMaxStaleResponses; ++foreign) {
       const TimePoint limit = HeadDeadline(state_, plan_, facts_, Clock::now());
       ExchangeFault fault = co_await attempt_.connection->ReadHead(limit);
       if (fault != ExchangeFault::kNone) co_return EndOf(fault);
--- a/libs/gateway/include/gateway/gateway_state.h
+++ b/libs/gateway/include/gateway/gateway_state.h
@@ -58,7 +58,7 @@
   std::chrono::milliseconds min_attempt_time{30};
 };
 
-static_assert(SlidingRetryBudget::kMaxConnectDelay >= ConnectionPool::Options{}.connect_limit);
+static_assert(SlidingRetryBudget::kMaxConnectDelay >= ConnectionPool::Options{}.connect_timeout);
 
 /// Runs on one executor; not thread-safe. Must outlive all exchanges.
 class GatewayState {
--- a/libs/gateway/include/gateway/sliding_retry_budget.h
+++ b/libs/gateway/include/gateway/sliding_retry_budget.h
@@ -30,7 +30,7 @@
   static constexpr double kUsedFraction = 0.8;
 
   /// Maximum time between the grant of a retry and its arrival, which includes connecting, see
-  /// ConnectionPool::Options::connect_limit.
+  /// ConnectionPool::Options::connect_timeout.
   static constexpr std::chrono::milliseconds kMaxConnectDelay{700};
 
   explicit SlidingRetryBudget(RetryBudgetLimits bound) : bound_(bound) {}
--- a/libs/gateway/src/backend_prober.cc
+++ b/libs/gateway/src/backend_prober.cc
@@ -50,7 +50,7 @@
 }
 
 bool BackendProber::NothingOpen(const Backend& backend) {
-  return backend.in_flight == 0 && !state_.pool().HasOpen(backend.entry.address);
+  return backend.in_flight == 0 && !state_.pool().HasOpenConnection(backend.entry.address);
 }
 
 bool BackendProber::IsDue(const Backend& backend, TimePoint now) const {
@@ -76,7 +76,7 @@
   --running_;
   backend->probing = false;
   const bool reached = fault == ExchangeFault::kNone;
-  if (connection->refused() && NothingOpen(*backend)) {
+  if (connection->connection_refused() && NothingOpen(*backend)) {
     state_.poison().RecordCrash(*backend, "refused", Clock::now());
   }
   if (reached == backend->reachable && !backend->needs_probe) co_return;
@@ -84,7 +84,7 @@
   if (reached) {
     BackendDirectory::RecordReachable(*backend);
   } else {
-    state_.pool().Forget(backend->entry.address);  // idle pooled connections are broken as well
+    state_.pool().CloseIdle(backend->entry.address);  // idle pooled connections are broken as well
     state_.ReportUnreachable(*backend);
   }
   if (!changed) co_return;
@@ -93,7 +93,7 @@
       {{"backend", backend->entry.id.value()},
        {"address", backend->entry.address},
        {"zone", backend->entry.zone.value()},
-       {"refused", connection->refused() ? "yes" : "no"},
+       {"refused", connection->connection_refused() ? "yes" : "no"},
        {"probe_ms", MillisecondsText(Clock::now() - start)}});
 }
 
--- a/libs/log/include/log/duration_text.h
+++ b/libs/log/include/log/duration_text.h
@@ -1,4 +1,4 @@
-// Durations as log lines have them.
+// Formats durations for log lines.
 
 #pragma once
 
@@ -7,7 +7,7 @@
 
 namespace ridgehold {
 
-/// Whole milliseconds, rounded towards zero.
+/// Returns `duration` in whole milliseconds, rounded towards zero, without a unit.
 template <class Rep, class Period>
 std::string MillisecondsText(std::chrono::duration<Rep, Period> duration) {
   return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(duration).count());
--- a/libs/log/include/log/log.h
+++ b/libs/log/include/log/log.h
@@ -1,4 +1,4 @@
-// Structured logs, one event a line (log4cxx).
+// Structured logging, one event per line (log4cxx).
 
 #pragma once
 
@@ -13,7 +13,7 @@
 
 enum class LogLevel : std::uint8_t { kDebug, kInfo, kWarn, kError };
 
-/// One named value of an event. Never prompt text, never keys.
+/// One named value of an event. Must not contain prompt text or API keys.
 struct LogField {
   std::string name;
   std::string value;
@@ -21,23 +21,25 @@
 
 using LogFields = std::vector<LogField>;
 
-/// Where lines go.
+/// Where log lines are written.
 enum class LogSink : std::uint8_t {
-  kStandardError,         ///< written by the caller's thread
-  kQueuedStandardOutput,  ///< through a bounded queue; never blocks, drops and counts when full
+  kStandardError,         ///< written synchronously by the calling thread
+  kQueuedStandardOutput,  ///< bounded queue; never blocks, drops and counts lines when full
 };
 
-/// Sets up the process's log: layout `json` or `plain`.
+/// Initializes the process-wide log. `level` is as for `SetLogLevel`; `layout` is `json` or
+/// `plain`.
 void StartLog(std::string_view level, std::string_view layout,
               LogSink sink = LogSink::kStandardError);
 
-/// Writes what is still queued and ends the queue's thread.
+/// Flushes queued lines and stops the queue's thread.
 void StopLog();
 
-/// Changes the level while running: debug, info, warn or error.
+/// Sets the minimum level: `debug`, `info`, `warn` or `error`. Returns kInvalidCommand for any
+/// other text.
 Result<void> SetLogLevel(std::string_view level);
 
-/// Writes one event: `Log(LogLevel::kInfo, "listening", {{"port", "8080"}});`
+/// Logs one event: `Log(LogLevel::kInfo, "listening", {{"port", "8080"}});`
 void Log(LogLevel level, std::string_view event, const LogFields& fields = {});
 
 }  // namespace ridgehold
--- a/libs/log/src/log.cc
+++ b/libs/log/src/log.cc
@@ -13,9 +13,9 @@
 
 std::atomic<bool> json_layout{true};
 
-// Lines that wait for standard output; log4cxx sums up in a line of its own
-// how many it had to drop. At 400 bytes a line this is 0.8 MB.
-constexpr int kQueuedLines = 2'048;
+// Capacity of the queue to standard output, in lines; log4cxx reports the number of dropped
+// lines in a log line of its own. At 400 bytes per line this is 0.8 MB.
+constexpr int kAsyncBufferLines = 2'048;
 
 const log4cxx::LoggerPtr& ProcessLogger() {
   static const log4cxx::LoggerPtr logger = log4cxx::Logger::getLogger("ridgehold");
@@ -51,9 +51,9 @@
   return line.dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace);
 }
 
-log4cxx::AppenderPtr Queued(const log4cxx::AppenderPtr& target) {
+log4cxx::AppenderPtr MakeAsyncAppender(const log4cxx::AppenderPtr& target) {
   const auto queue = std::make_shared<log4cxx::AsyncAppender>();
-  queue->setBufferSize(kQueuedLines);
+  queue->setBufferSize(kAsyncBufferLines);
   queue->setBlocking(false);
   queue->addAppender(target);
   return queue;
@@ -63,7 +63,7 @@
 
 void StartLog(std::string_view level, std::string_view layout, LogSink sink) {
   json_layout = layout == "json";
-  // In the JSON layout the pattern opens the object with the time.
+  // In the JSON layout the pattern writes the opening brace and the `time` member.
   const char* pattern = json_layout ? "{\"time\":\"%d{yyyy-MM-dd}T%d{HH:mm:ss.SSSZ}\",%m%n"
                                     : "%d{yyyy-MM-dd HH:mm:ss.SSS} %-5p %m%n";
   const auto layout_object = std::make_shared<log4cxx::PatternLayout>(pattern);
@@ -72,7 +72,7 @@
       layout_object,
       queued ? log4cxx::ConsoleAppender::getSystemOut() : log4cxx::ConsoleAppender::getSystemErr());
   ProcessLogger()->removeAllAppenders();
-  ProcessLogger()->addAppender(queued ? Queued(console) : console);
+  ProcessLogger()->addAppender(queued ? MakeAsyncAppender(console) : console);
   ProcessLogger()->setAdditivity(false);
   ValueOr([&]() -> Result<void> { return SetLogLevel(level); }, [](const Failure&) {});
 }
--- a/libs/metrics/include/metrics/metrics.h
+++ b/libs/metrics/include/metrics/metrics.h
@@ -1,4 +1,4 @@
-// Counters, gauges and latency quantiles of one process, as Prometheus text.
+// A registry of counters, gauges and summaries, exported in the Prometheus text format.
 
 #pragma once
 
@@ -11,7 +11,7 @@
 
 namespace ridgehold {
 
-/// A number that only grows.
+/// A monotonically increasing counter. Thread-safe.
 class Counter {
  public:
   void Add(std::uint64_t amount = 1) { value_.fetch_add(amount, std::memory_order_relaxed); }
@@ -21,7 +21,7 @@
   std::atomic<std::uint64_t> value_{0};
 };
 
-/// Quantiles of seconds or counts, estimated by Boost.Accumulators.
+/// Streaming estimates of quantiles, by Boost.Accumulators, with count and sum. Thread-safe.
 class Summary {
  public:
   Summary();
@@ -29,7 +29,7 @@
 
   void Observe(double value);
 
-  /// Appends the Prometheus lines of this summary.
+  /// Appends this summary to `out` in the Prometheus text format.
   void Print(const std::string& name, const std::string& labels, std::string& out) const;
 
  private:
@@ -37,19 +37,20 @@
   std::unique_ptr<Impl> impl_;
 };
 
-/// All metrics of a process. Objects live as long as the registry.
+/// All metrics of a process. Returned references stay valid as long as the registry.
+/// Thread-safe.
 class Metrics {
  public:
-  /// Returns the counter of this name; `labels` such as `kind="get"`.
+  /// Returns the counter with this name and these labels, such as `kind="get"`; creates it if
+  /// needed.
   Counter& GetCounter(const std::string& name, const std::string& labels = "");
 
-  /// Returns the summary of this name.
+  /// Returns the summary with this name and these labels; creates it if needed.
   Summary& GetSummary(const std::string& name, const std::string& labels = "");
 
-  /// Sets a gauge.
   void SetGauge(const std::string& name, const std::string& labels, double value);
 
-  /// Prometheus' text exposition of everything.
+  /// Returns all metrics in the Prometheus text format.
   std::string Print() const;
 
  private:
--- a/libs/metrics/src/metrics.cc
+++ b/libs/metrics/src/metrics.cc
@@ -1,6 +1,6 @@
 #include "metrics/metrics.h"
 
-// Boost.Accumulators 1.81 uses it without including it.
+// Boost.Accumulators 1.81 uses <sstream> without including it.
 #include <sstream>
 
 #include <array>
@@ -25,7 +25,7 @@
   return labels.empty() ? name : name + "{" + labels + "}";
 }
 
-std::string Joined(const std::string& labels, const std::string& more) {
+std::string JoinLabels(const std::string& labels, const std::string& more) {
   return labels.empty() ? more : labels + "," + more;
 }
 
@@ -59,11 +59,11 @@
   const std::lock_guard lock(impl_->mutex);
   const auto count = acc::count(impl_->accumulator);
   for (const double quantile : kQuantiles) {
-    // The estimator needs more samples than it has markers.
+    // The P-square estimator is valid only with more samples than it has markers.
     if (count <= 2 * kQuantiles.size() + 3) break;
     const double value = acc::quantile(impl_->accumulator, acc::quantile_probability = quantile);
     const std::string label = "quantile=\"" + std::to_string(quantile).substr(0, 4) + "\"";
-    out += WithLabels(name, Joined(labels, label)) + " " + std::to_string(value) + "\n";
+    out += WithLabels(name, JoinLabels(labels, label)) + " " + std::to_string(value) + "\n";
   }
   out +=
       WithLabels(name + "_sum", labels) + " " + std::to_string(acc::sum(impl_->accumulator)) + "\n";
--- a/libs/net/include/net/beast.h
+++ b/libs/net/include/net/beast.h
@@ -1,4 +1,4 @@
-// Short names for Boost.Asio and Boost.Beast, and the message types the gateway uses.
+// Namespace aliases for Boost.Asio and Boost.Beast, and HTTP message types.
 
 #pragma once
 
@@ -14,14 +14,14 @@
 using tcp = net::ip::tcp;
 using ErrorCode = boost::system::error_code;
 
-/// A request with its whole body.
+/// A request with its complete body.
 using RequestMessage = http::request<http::string_body>;
-/// A response with its whole body.
+/// A response with its complete body.
 using ResponseMessage = http::response<http::string_body>;
 /// A response's status line and header fields.
 using ResponseHead = http::response_header<>;
 
-/// Parses `address:port` with a numeric IPv4 address; the port is 0 on failure.
+/// Parses `address:port` with a numeric IPv4 address. Returns an endpoint with port 0 on failure.
 tcp::endpoint ParseEndpoint(const std::string& text);
 
 }  // namespace ridgehold
--- a/libs/net/include/net/connection_pool.h
+++ b/libs/net/include/net/connection_pool.h
@@ -1,4 +1,4 @@
-// Kept connections to backend servers, by address.
+// A pool of keep-alive connections, by server address.
 
 #pragma once
 
@@ -13,53 +13,55 @@
 
 namespace ridgehold {
 
-/// A connection that a request may use, and how getting it ended.
+/// The result of `ConnectionPool::Acquire`.
 struct Checkout {
   std::shared_ptr<OutboundConnection> connection;  ///< null when `fault` is not kNone
   ExchangeFault fault = ExchangeFault::kNone;
-  bool fresh = false;  ///< opened for this request
+  bool fresh = false;  ///< newly opened, not reused
 };
 
-/// Hands out idle connections, newest first, and opens new ones. All calls
-/// come from one executor.
+/// Hands out idle connections, the most recently used first, and opens new ones. Not
+/// thread-safe: all calls must come from one executor.
 class ConnectionPool {
  public:
   struct Options {
-    /// Kept connections are dropped after this long without use where the server
-    /// does not say how long it keeps them; shorter than servers commonly do.
-    std::chrono::milliseconds idle_limit{4'000};
-    /// The same where it says so: an instance of a large fleet comes back to a
-    /// server every few seconds only.
-    std::chrono::milliseconds named_idle_limit{20'000};
-    /// A connection is not reused within this span before the server's own limit.
+    /// Idle timeout for servers that send no Keep-Alive timeout; shorter than the usual
+    /// server-side timeouts.
+    std::chrono::milliseconds idle_timeout{4'000};
+    /// Upper bound for a server's own Keep-Alive timeout. Longer than `idle_timeout`, since an
+    /// instance of a large fleet uses a given server only every few seconds.
+    std::chrono::milliseconds max_keep_alive{20'000};
+    /// A connection is not reused within this time before the server's Keep-Alive timeout.
     std::chrono::milliseconds keep_alive_margin{500};
-    /// A packet lost while connecting is sent again by the kernel after 1 s.
-    std::chrono::milliseconds connect_limit{700};
-    /// Sent bytes that a live server does not acknowledge for this long mean
-    /// that it is gone; ten times the round trip between zones is 30 ms.
-    std::chrono::milliseconds unacknowledged_limit{1'000};
-    std::size_t most_idle = 32;  ///< for each address
+    /// Shorter than the kernel's 1 s retransmission timeout for a lost connect packet (SYN).
+    std::chrono::milliseconds connect_timeout{700};
+    /// A server that leaves sent bytes unacknowledged for this long is considered gone. Ten
+    /// round trips between zones take 30 ms.
+    std::chrono::milliseconds tcp_user_timeout{1'000};
+    std::size_t max_idle_per_address = 32;
   };
 
   ConnectionPool(net::any_io_executor executor, Options options)
       : executor_(std::move(executor)), options_(options) {}
 
-  /// Returns an idle connection to `address`, or a new one.
-  net::awaitable<Checkout> Acquire(std::string address, TimePoint limit);
+  /// Returns an idle connection to `address`, or opens a new one. Returns kNotSent if `address`
+  /// is malformed or connecting fails.
+  net::awaitable<Checkout> Acquire(std::string address, TimePoint deadline);
 
-  /// Takes a connection back after an exchange; it is closed unless it can
-  /// serve another.
+  /// Returns a connection to the pool after an exchange. Closes it if it cannot be reused or
+  /// the pool is full for `address`.
   void Release(const std::string& address, std::shared_ptr<OutboundConnection> connection);
 
-  /// Closes what has been idle too long or was closed by its server.
-  void Sweep(TimePoint now);
+  /// Closes connections whose idle timeout has passed or that the server has closed.
+  void CloseExpired(TimePoint now);
 
-  /// Whether a kept connection to `address` is still open at the other side.
-  bool HasOpen(const std::string& address);
+  /// Whether an idle connection to `address` is still open on the server's side.
+  bool HasOpenConnection(const std::string& address);
 
   /// Closes all idle connections to `address`.
-  void Forget(const std::string& address) { idle_.erase(address); }
+  void CloseIdle(const std::string& address) { idle_.erase(address); }
 
+  /// Number of connections opened so far, failed attempts included.
   std::uint64_t opened() const { return opened_; }
 
  private:
--- a/libs/net/include/net/http_call.h
+++ b/libs/net/include/net/http_call.h
@@ -1,4 +1,4 @@
-// One call with a whole answer over a pool's connections.
+// A single HTTP request-response exchange over a pooled connection.
 
 #pragma once
 
@@ -12,18 +12,19 @@
 
 namespace ridgehold {
 
-/// A whole answer, or why there is none.
-struct CallOutcome {
+/// A complete response, or the reason why there is none.
+struct CallResult {
   ExchangeFault fault = ExchangeFault::kNone;
-  ResponseMessage answer;
+  ResponseMessage response;
 };
 
-/// Asked just before a call is sent, since connecting takes time.
+/// Checked right before a request is sent: it may have become invalid while connecting.
 using MaySend = std::function<bool()>;
 
-/// Sends `request` once to `address` and reads the whole answer within `limit`.
-/// Nothing is sent, and kNotSent returned, when `may_send` says no.
-net::awaitable<CallOutcome> Call(ConnectionPool& pool, std::string address, RequestMessage request,
-                                 std::chrono::milliseconds limit, MaySend may_send = {});
+/// Sends `request` to `address` once, without retries, and reads the complete response.
+/// `timeout` covers connecting, sending and reading. If `may_send` returns false, sends nothing
+/// and returns kNotSent.
+net::awaitable<CallResult> Call(ConnectionPool& pool, std::string address, RequestMessage request,
+                                std::chrono::milliseconds timeout, MaySend may_send = {});
 
 }  // namespace ridgehold
--- a/libs/net/include/net/outbound_connection.h
+++ b/libs/net/include/net/outbound_connection.h
@@ -1,4 +1,4 @@
-// One HTTP/1.1 connection to a backend server or to the platform's store.
+// An HTTP/1.1 client connection to a backend server or to the platform's store.
 
 #pragma once
 
@@ -16,70 +16,70 @@
 
 /// How one exchange on a connection ended.
 enum class ExchangeFault : std::uint8_t {
-  kNone,       ///< the answer is complete
-  kNotSent,    ///< not one byte of the request left this process
-  kBroken,     ///< the connection ended, or what came is no answer
-  kTimedOut,   ///< the time limit passed
-  kCancelled,  ///< ended by this side
+  kNone,       ///< success: the response is complete
+  kNotSent,    ///< no byte of the request was sent
+  kBroken,     ///< the connection was closed, or the response is malformed or too large
+  kTimedOut,   ///< the deadline passed
+  kCancelled,  ///< cancelled by `Cancel`
 };
 
-/// Carries one request at a time and never sends one twice. All calls come
-/// from one executor. Not copied; kept alive by its pending operations.
+/// Carries one request at a time and never retries. Not thread-safe: all calls must come from
+/// one executor. Pending operations keep the object alive.
 class OutboundConnection : public std::enable_shared_from_this<OutboundConnection> {
  public:
-  /// An answer's later, unwanted copies are skipped up to this number.
-  static constexpr int kMostForeignAnswers = 2;
+  /// Late duplicate responses to earlier requests are skipped up to this number per exchange.
+  static constexpr int kMaxStaleResponses = 2;
 
   static std::shared_ptr<OutboundConnection> Create(net::any_io_executor executor);
 
-  /// Connects; `unacknowledged_limit` is how long sent bytes may stay
-  /// unacknowledged before the kernel ends the connection.
-  net::awaitable<ExchangeFault> Connect(tcp::endpoint endpoint, TimePoint limit,
-                                        std::chrono::milliseconds unacknowledged_limit);
+  /// Connects. The kernel closes the connection when sent bytes stay unacknowledged for
+  /// `tcp_user_timeout` (TCP_USER_TIMEOUT).
+  net::awaitable<ExchangeFault> Connect(tcp::endpoint endpoint, TimePoint deadline,
+                                        std::chrono::milliseconds tcp_user_timeout);
 
-  /// Begins to send `request`. Reading may start at once: a server may answer
-  /// before it has read everything.
+  /// Starts to send `request`. Reading may start at once: a server may respond before it has
+  /// read the whole request.
   void StartRequest(const RequestMessage& request);
 
-  /// Reads the head of the next answer; interim (1xx) answers are skipped.
-  net::awaitable<ExchangeFault> ReadHead(TimePoint limit);
+  /// Reads the head of the next response; skips interim (1xx) responses.
+  net::awaitable<ExchangeFault> ReadHead(TimePoint deadline);
 
-  /// The head that ReadHead has read.
+  /// The head that the last `ReadHead` read.
   const ResponseHead& head() const { return parser_->get().base(); }
 
-  /// Appends what has arrived of the body to `out`. Waits for at least one byte or
-  /// for the end, which `BodyDone` then tells.
-  net::awaitable<ExchangeFault> ReadBody(std::string& out, TimePoint limit);
+  /// Appends received body bytes to `out`. Waits for at least one byte or for the end of the
+  /// body; `BodyDone` tells which.
+  net::awaitable<ExchangeFault> ReadBody(std::string& out, TimePoint deadline);
 
-  /// Reads the rest of the body, at most `most_bytes`.
-  net::awaitable<ExchangeFault> ReadWholeBody(std::string& out, std::size_t most_bytes,
-                                              TimePoint limit);
+  /// Appends the rest of the body to `out`; returns kBroken if `out` exceeds `max_bytes`.
+  net::awaitable<ExchangeFault> ReadWholeBody(std::string& out, std::size_t max_bytes,
+                                              TimePoint deadline);
 
-  /// Whether the address answered the last Connect with a refusal: nothing listens
-  /// there, so the process that did is gone.
-  bool refused() const { return refused_; }
+  /// Whether the last `Connect` failed with ECONNREFUSED: nothing listens on the address, so
+  /// the server process has ended.
+  bool connection_refused() const { return connection_refused_; }
 
   bool BodyDone() const { return parser_ && parser_->is_done(); }
 
-  /// Ends the running operation; it reports kCancelled.
+  /// Cancels the running operation, which then returns kCancelled.
   void Cancel();
 
-  /// Whether closing, or the end of the process, drops what the other side has
-  /// not acknowledged. Else the kernel goes on sending it, and a request or an
-  /// order that was given up may arrive a second later.
+  /// If set, closing the socket or ending the process discards unacknowledged bytes (SO_LINGER
+  /// with a timeout of 0). Otherwise the kernel goes on sending them, and an abandoned request
+  /// or order may arrive a second later.
   void ResetOnClose(bool reset);
 
-  /// Whether the last exchange left the connection fit for another: whole
-  /// request sent, whole answer read, nothing behind it, and kept by the server.
+  /// Whether the connection can carry another exchange: the request was sent and the response
+  /// read completely, no extra bytes followed, and the server keeps the connection open.
   bool Reusable() const;
 
-  /// Whether an idle connection is still open and silent.
+  /// Whether an idle connection is still open and has received no bytes.
   bool IdleAndOpen();
 
   TimePoint idle_since() const { return idle_since_; }
   void MarkIdle(TimePoint now) { idle_since_ = now; }
 
-  /// The last answer's own idle limit, if it named one.
+  /// The idle timeout from the last Keep-Alive header field, if the server sent one.
   std::optional<std::chrono::seconds> keep_alive() const { return keep_alive_; }
 
  private:
@@ -87,14 +87,14 @@
 
   explicit OutboundConnection(net::any_io_executor executor);
 
-  void ArmLimit(TimePoint limit);
+  void ArmDeadline(TimePoint deadline);
   void OnWritten(const ErrorCode& error, std::size_t bytes);
-  ExchangeFault FaultAfter(const ErrorCode& error) const;
-  void TakeHeadFields();
+  ExchangeFault CurrentFault(const ErrorCode& error) const;
+  void ParseHeadFields();
   void Close();
 
   tcp::socket socket_;
-  Timer limit_timer_;
+  Timer deadline_timer_;
   boost::beast::flat_buffer buffer_;
   std::optional<Parser> parser_;
   std::string outgoing_;
@@ -104,8 +104,8 @@
   bool timed_out_ = false;
   bool cancelled_ = false;
   bool broken_ = false;
-  bool refused_ = false;
-  std::uint64_t limit_generation_ = 0;
+  bool connection_refused_ = false;
+  std::uint64_t deadline_generation_ = 0;
   TimePoint idle_since_{};
   std::optional<std::chrono::seconds> keep_alive_;
 };
--- a/libs/net/include/net/timer.h
+++ b/libs/net/include/net/timer.h
@@ -1,4 +1,4 @@
-// Timers on the clock of all decisions.
+// The Asio timer type on `Clock`.
 
 #pragma once
 
@@ -9,9 +9,9 @@
 
 namespace ridgehold {
 
-/// The kernel wakes Asio by a clock that stands still while the machine is suspended. But
-/// whenever it wakes for the earliest timer, Asio ends all that are due by their own clock;
-/// the prober looks up each 50 ms, so no timer is late by more than that after a suspension.
+/// Asio sleeps on a kernel clock that stops while the machine is suspended. On each wake-up it
+/// fires every timer that is due by `Clock`. The backend prober wakes up every 50 ms, so after a
+/// suspension no timer is late by more than that.
 using Timer = net::basic_waitable_timer<Clock>;
 
 }  // namespace ridgehold
--- a/libs/net/include/net/wait.h
+++ b/libs/net/include/net/wait.h
@@ -1,4 +1,4 @@
-// Waiting in a coroutine.
+// Timer waits for coroutines.
 
 #pragma once
 
@@ -11,14 +11,14 @@
 
 namespace ridgehold {
 
-/// Waits until `moment`, or until the timer is cancelled or set anew.
+/// Waits until `moment`, or until the timer is cancelled or its expiry is changed.
 inline net::awaitable<void> WaitUntil(Timer& timer, TimePoint moment) {
   ErrorCode ignored;
   timer.expires_at(moment);
   co_await timer.async_wait(net::redirect_error(net::use_awaitable, ignored));
 }
 
-/// The same for a span.
+/// Waits for `time`, or until the timer is cancelled or its expiry is changed.
 inline net::awaitable<void> WaitFor(Timer& timer, Duration time) {
   co_await WaitUntil(timer, Clock::now() + time);
 }
--- a/libs/net/src/connection_pool.cc
+++ b/libs/net/src/connection_pool.cc
@@ -4,7 +4,7 @@
 
 namespace ridgehold {
 
-net::awaitable<Checkout> ConnectionPool::Acquire(std::string address, TimePoint limit) {
+net::awaitable<Checkout> ConnectionPool::Acquire(std::string address, TimePoint deadline) {
   const TimePoint now = Clock::now();
   Checkout checkout;
   const auto found = idle_.find(address);
@@ -23,9 +23,9 @@
   }
   auto connection = OutboundConnection::Create(executor_);
   ++opened_;
-  const TimePoint connect_by = std::min(limit, now + options_.connect_limit);
+  const TimePoint connect_deadline = std::min(deadline, now + options_.connect_timeout);
   checkout.fault =
-      co_await connection->Connect(endpoint, connect_by, options_.unacknowledged_limit);
+      co_await connection->Connect(endpoint, connect_deadline, options_.tcp_user_timeout);
   if (checkout.fault == ExchangeFault::kNone) checkout.connection = std::move(connection);
   co_return checkout;
 }
@@ -34,12 +34,12 @@
                              std::shared_ptr<OutboundConnection> connection) {
   if (!connection || !connection->Reusable()) return;
   Idle& idle = idle_[address];
-  if (idle.size() >= options_.most_idle) return;
+  if (idle.size() >= options_.max_idle_per_address) return;
   connection->MarkIdle(Clock::now());
   idle.push_back(std::move(connection));
 }
 
-void ConnectionPool::Sweep(TimePoint now) {
+void ConnectionPool::CloseExpired(TimePoint now) {
   for (auto& [address, idle] : idle_) {
     std::erase_if(idle, [&](const auto& connection) {
       return Expired(*connection, now) || !connection->IdleAndOpen();
@@ -48,7 +48,7 @@
   std::erase_if(idle_, [](const auto& entry) { return entry.second.empty(); });
 }
 
-bool ConnectionPool::HasOpen(const std::string& address) {
+bool ConnectionPool::HasOpenConnection(const std::string& address) {
   const auto found = idle_.find(address);
   if (found == idle_.end()) return false;
   return std::ranges::any_of(found->second,
@@ -56,12 +56,12 @@
 }
 
 bool ConnectionPool::Expired(const OutboundConnection& connection, TimePoint now) const {
-  auto limit = options_.idle_limit;
-  if (const auto named = connection.keep_alive()) {
-    const std::chrono::milliseconds usable = *named - options_.keep_alive_margin;
-    limit = std::clamp(usable, std::chrono::milliseconds(0), options_.named_idle_limit);
+  auto max_idle = options_.idle_timeout;
+  if (const auto keep_alive = connection.keep_alive()) {
+    const std::chrono::milliseconds usable = *keep_alive - options_.keep_alive_margin;
+    max_idle = std::clamp(usable, std::chrono::milliseconds(0), options_.max_keep_alive);
   }
-  return now - connection.idle_since() >= limit;
+  return now - connection.idle_since() >= max_idle;
 }
 
 }  // namespace ridgehold
--- a/libs/net/src/http_call.cc
+++ b/libs/net/src/http_call.cc
@@ -3,16 +3,16 @@
 namespace ridgehold {
 namespace {
 
-// Far above any answer of the store or of a control call.
-constexpr std::size_t kMaxAnswerBytes = std::size_t{16} << 20;
+// Far above the size of any response of the store or of the control API.
+constexpr std::size_t kMaxResponseBytes = std::size_t{16} << 20;
 
 }  // namespace
 
-net::awaitable<CallOutcome> Call(ConnectionPool& pool, std::string address, RequestMessage request,
-                                 std::chrono::milliseconds limit, MaySend may_send) {
-  const TimePoint until = Clock::now() + limit;
-  Checkout checkout = co_await pool.Acquire(address, until);
-  CallOutcome outcome;
+net::awaitable<CallResult> Call(ConnectionPool& pool, std::string address, RequestMessage request,
+                                std::chrono::milliseconds timeout, MaySend may_send) {
+  const TimePoint deadline = Clock::now() + timeout;
+  Checkout checkout = co_await pool.Acquire(address, deadline);
+  CallResult outcome;
   outcome.fault = checkout.fault;
   if (outcome.fault != ExchangeFault::kNone) co_return outcome;
   auto connection = std::move(checkout.connection);
@@ -21,13 +21,14 @@
     outcome.fault = ExchangeFault::kNotSent;
     co_return outcome;
   }
-  // What was sent under a condition is not to arrive after the process's end.
+  // A conditional request must not be delivered by the kernel after this process has ended.
   if (may_send) connection->ResetOnClose(true);
   connection->StartRequest(request);
-  outcome.fault = co_await connection->ReadHead(until);
+  outcome.fault = co_await connection->ReadHead(deadline);
   if (outcome.fault != ExchangeFault::kNone) co_return outcome;
-  outcome.answer.base() = connection->head();
-  outcome.fault = co_await connection->ReadWholeBody(outcome.answer.body(), kMaxAnswerBytes, until);
+  outcome.response.base() = connection->head();
+  outcome.fault =
+      co_await connection->ReadWholeBody(outcome.response.body(), kMaxResponseBytes, deadline);
   if (outcome.fault != ExchangeFault::kNone) co_return outcome;
   if (may_send) connection->ResetOnClose(false);
   pool.Release(address, std::move(connection));
--- a/libs/net/src/outbound_connection.cc
+++ b/libs/net/src/outbound_connection.cc
@@ -15,12 +15,12 @@
 namespace ridgehold {
 namespace {
 
-constexpr std::size_t kBodyPieceBytes = std::size_t{16} << 10;
-// Heads of backend servers' answers; far above what they send.
-constexpr std::uint32_t kMaxAnswerHeadBytes = 64 << 10;
+constexpr std::size_t kReadChunkBytes = std::size_t{16} << 10;
+// Far above the size of the response heads that backend servers send.
+constexpr std::uint32_t kMaxResponseHeadBytes = 64 << 10;
 constexpr int kFirstFinalStatus = 200;
 
-/// Reads `timeout=SECONDS` out of a Keep-Alive field.
+/// Parses `timeout=SECONDS` in a Keep-Alive field value.
 std::optional<std::chrono::seconds> ParseKeepAlive(std::string_view field) {
   constexpr std::string_view kName = "timeout=";
   const std::size_t at = field.find(kName);
@@ -51,24 +51,24 @@
 }
 
 OutboundConnection::OutboundConnection(net::any_io_executor executor)
-    : socket_(executor), limit_timer_(executor) {}
+    : socket_(executor), deadline_timer_(executor) {}
 
 net::awaitable<ExchangeFault> OutboundConnection::Connect(
-    tcp::endpoint endpoint, TimePoint limit, std::chrono::milliseconds unacknowledged_limit) {
+    tcp::endpoint endpoint, TimePoint deadline, std::chrono::milliseconds tcp_user_timeout) {
   auto self = shared_from_this();
   ErrorCode error;
   socket_.open(endpoint.protocol(), error);
   if (error) co_return ExchangeFault::kNotSent;
-  ArmLimit(limit);
+  ArmDeadline(deadline);
   co_await socket_.async_connect(endpoint, net::redirect_error(net::use_awaitable, error));
-  ++limit_generation_;
-  refused_ = error == net::error::connection_refused;
+  ++deadline_generation_;
+  connection_refused_ = error == net::error::connection_refused;
   if (error || timed_out_ || cancelled_) {
     Close();
     co_return cancelled_ ? ExchangeFault::kCancelled : ExchangeFault::kNotSent;
   }
   socket_.set_option(tcp::no_delay(true), error);
-  const int user_timeout = static_cast<int>(unacknowledged_limit.count());
+  const int user_timeout = static_cast<int>(tcp_user_timeout.count());
   ::setsockopt(socket_.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &user_timeout,
                sizeof user_timeout);
   co_return ExchangeFault::kNone;
@@ -91,62 +91,62 @@
   written_ = bytes;
   write_done_ = true;
   write_failed_ = static_cast<bool>(error);
-  // A pending read would otherwise wait for a server that has been told nothing.
+  // Otherwise a pending read would wait for a server that has received no request.
   if (write_failed_ && bytes == 0) Close();
 }
 
-net::awaitable<ExchangeFault> OutboundConnection::ReadHead(TimePoint limit) {
+net::awaitable<ExchangeFault> OutboundConnection::ReadHead(TimePoint deadline) {
   auto self = shared_from_this();
   for (;;) {
     parser_.emplace();
-    parser_->header_limit(kMaxAnswerHeadBytes);
+    parser_->header_limit(kMaxResponseHeadBytes);
     parser_->body_limit(boost::none);
     ErrorCode error;
-    ArmLimit(limit);
+    ArmDeadline(deadline);
     co_await http::async_read_header(socket_, buffer_, *parser_,
                                      net::redirect_error(net::use_awaitable, error));
-    ++limit_generation_;
-    if (error || timed_out_ || cancelled_) co_return FaultAfter(error);
+    ++deadline_generation_;
+    if (error || timed_out_ || cancelled_) co_return CurrentFault(error);
     if (static_cast<int>(parser_->get().result_int()) >= kFirstFinalStatus) break;
   }
-  TakeHeadFields();
+  ParseHeadFields();
   co_return ExchangeFault::kNone;
 }
 
-void OutboundConnection::TakeHeadFields() {
+void OutboundConnection::ParseHeadFields() {
   const auto field = head().find(http::field::keep_alive);
   if (field == head().end()) return;
   keep_alive_ = ParseKeepAlive({field->value().data(), field->value().size()});
 }
 
-net::awaitable<ExchangeFault> OutboundConnection::ReadBody(std::string& out, TimePoint limit) {
+net::awaitable<ExchangeFault> OutboundConnection::ReadBody(std::string& out, TimePoint deadline) {
   auto self = shared_from_this();
-  std::array<char, kBodyPieceBytes> piece;
+  std::array<char, kReadChunkBytes> chunk;
   const std::size_t before = out.size();
   while (!parser_->is_done() && out.size() == before) {
     auto& body = parser_->get().body();
-    body.data = piece.data();
-    body.size = piece.size();
+    body.data = chunk.data();
+    body.size = chunk.size();
     body.more = true;
     ErrorCode error;
-    ArmLimit(limit);
+    ArmDeadline(deadline);
     co_await http::async_read_some(socket_, buffer_, *parser_,
                                    net::redirect_error(net::use_awaitable, error));
-    ++limit_generation_;
-    out.append(piece.data(), piece.size() - body.size);
+    ++deadline_generation_;
+    out.append(chunk.data(), chunk.size() - body.size);
     if (error == http::error::need_buffer) error = {};
-    if (error || timed_out_ || cancelled_) co_return FaultAfter(error);
+    if (error || timed_out_ || cancelled_) co_return CurrentFault(error);
   }
   co_return ExchangeFault::kNone;
 }
 
 net::awaitable<ExchangeFault> OutboundConnection::ReadWholeBody(std::string& out,
-                                                                std::size_t most_bytes,
-                                                                TimePoint limit) {
+                                                                std::size_t max_bytes,
+                                                                TimePoint deadline) {
   while (!BodyDone()) {
-    const ExchangeFault fault = co_await ReadBody(out, limit);
+    const ExchangeFault fault = co_await ReadBody(out, deadline);
     if (fault != ExchangeFault::kNone) co_return fault;
-    if (out.size() > most_bytes) {
+    if (out.size() > max_bytes) {
       broken_ = true;
       co_return ExchangeFault::kBroken;
     }
@@ -154,18 +154,18 @@
   co_return ExchangeFault::kNone;
 }
 
-void OutboundConnection::ArmLimit(TimePoint limit) {
-  const std::uint64_t generation = ++limit_generation_;
-  limit_timer_.expires_at(limit);
-  limit_timer_.async_wait([self = shared_from_this(), generation](const ErrorCode& error) {
-    if (error || generation != self->limit_generation_) return;
+void OutboundConnection::ArmDeadline(TimePoint deadline) {
+  const std::uint64_t generation = ++deadline_generation_;
+  deadline_timer_.expires_at(deadline);
+  deadline_timer_.async_wait([self = shared_from_this(), generation](const ErrorCode& error) {
+    if (error || generation != self->deadline_generation_) return;
     self->timed_out_ = true;
     self->ResetOnClose(true);
     self->Close();
   });
 }
 
-ExchangeFault OutboundConnection::FaultAfter(const ErrorCode& /*error*/) const {
+ExchangeFault OutboundConnection::CurrentFault(const ErrorCode& /*error*/) const {
   if (write_done_ && write_failed_ && written_ == 0) return ExchangeFault::kNotSent;
   if (cancelled_) return ExchangeFault::kCancelled;
   if (timed_out_) return ExchangeFault::kTimedOut;
@@ -186,7 +186,7 @@
 void OutboundConnection::Close() {
   ErrorCode ignored;
   socket_.close(ignored);
-  limit_timer_.cancel();
+  deadline_timer_.cancel();
 }
 
 bool OutboundConnection::Reusable() const {
--- a/libs/peers/include/peers/store_copy_reader.h
+++ b/libs/peers/include/peers/store_copy_reader.h
@@ -171,14 +171,14 @@
     RequestMessage request(http::verb::get, target, kHttp11);
     request.set(http::field::host, peer);
     const std::string address = peer + ":" + std::to_string(options_.port);
-    const CallOutcome outcome =
+    const CallResult outcome =
         co_await Call(state_.pool(), address, std::move(request), options_.timeout);
-    if (outcome.fault != ExchangeFault::kNone || outcome.answer.result() != http::status::ok) {
+    if (outcome.fault != ExchangeFault::kNone || outcome.response.result() != http::status::ok) {
       co_return std::nullopt;
     }
     co_return ValueOr(
         [&]() -> Result<std::optional<StoreCopy>> {
-          BOOST_LEAF_AUTO(copy, DecodeStoreCopy(outcome.answer.body()));
+          BOOST_LEAF_AUTO(copy, DecodeStoreCopy(outcome.response.body()));
           return std::optional(std::move(copy));
         },
         [&](const Failure& failure) {
--- a/libs/reload/include/reload/reload_plan.h
+++ b/libs/reload/include/reload/reload_plan.h
@@ -28,18 +28,18 @@
 class ReloadPlan {
  public:
   /// An engine is not ordered again before this has passed.
-  static constexpr std::chrono::seconds kOrderPause{30};
+  static constexpr std::chrono::seconds kOrderRetryInterval{30};
 
   explicit ReloadPlan(ZoneId zone) : zone_(std::move(zone)) {}
 
   /// Returns the next order for an engine of the own zone whose model is set
   /// to reload by itself and whose reported weights are others than
   /// configured; nothing while an ordered engine has not reported back.
-  std::optional<ReloadOrder> Next(const Config& config, std::span<const BackendState> rows,
+  std::optional<ReloadOrder> Next(const Config& config, std::span<const BackendState> backends,
                                   TimePoint now);
 
   /// The order was sent, or failed.
-  void NoteOrdered(const BackendId& engine, TimePoint now) { ordered_[engine] = now; }
+  void RecordOrder(const BackendId& engine, TimePoint now) { ordered_[engine] = now; }
 
  private:
   ZoneId zone_;
--- a/libs/reload/include/reload/reload_role.h
+++ b/libs/reload/include/reload/reload_role.h
@@ -18,9 +18,9 @@
 namespace ridgehold {
 
 /// Names a holding of a place: no two holdings of it have the same.
-struct ReloadTicket {
+struct ReloadClaim {
   int place = 0;
-  std::string holding;
+  std::string holder_value;
 };
 
 /// A role is held through a leased key. Every single order gets a fencing
@@ -30,7 +30,7 @@
 class ReloadRole {
  public:
   /// So many engines reload at once; more would slow the weight store down.
-  static constexpr int kPlaces = 2;
+  static constexpr int kMaxConcurrentReloads = 2;
 
   struct Options {
     std::chrono::seconds ttl{10};
@@ -42,7 +42,7 @@
 
   /// Takes a free place. Returns whether one is held now.
   bool Acquire() {
-    for (int place = 0; place < kPlaces && !Held(); ++place) {
+    for (int place = 0; place < kMaxConcurrentReloads && !Held(); ++place) {
       ValueOr([&] { return TryPlace(place); }, [](const Failure&) { return false; });
     }
     return Held();
@@ -50,42 +50,42 @@
 
   /// Keeps the place. Returns whether it is still held.
   bool KeepAlive() {
-    if (!ticket_) return false;
-    const TimePoint begun = options_.now();
+    if (!claim_) return false;
+    const TimePoint call_start = options_.now();
     const auto alive = ValueOr(
         [&]() -> Result<std::optional<bool>> {
           BOOST_LEAF_AUTO(lives, store_.KeepAlive(*lease_));
           return std::optional(lives);
         },
         [](const Failure&) { return std::optional<bool>(); });
-    if (alive && *alive) clock_.Renew(begun, options_.ttl);
-    if (alive && !*alive) Forget();
+    if (alive && *alive) clock_.Renew(call_start, options_.ttl);
+    if (alive && !*alive) ResetClaim();
     return Held();
   }
 
   /// Whether the place is certainly held now, by the local clock.
-  bool Held() const { return ticket_.has_value() && clock_.MayAct(options_.now()); }
+  bool Held() const { return claim_.has_value() && clock_.MayAct(options_.now()); }
 
   /// Takes the next fencing number, if the place is still held at the store.
-  std::optional<std::uint64_t> NextFencing() {
+  std::optional<std::uint64_t> NextFencingToken() {
     if (!Held()) return std::nullopt;
-    return ValueOr([&] { return TakeNumber(); },
+    return ValueOr([&] { return IncrementFencingToken(); },
                    [](const Failure&) { return std::optional<std::uint64_t>(); });
   }
 
   /// Gives the place up.
   void Release() {
-    if (!ticket_) return;
+    if (!claim_) return;
     ValueOr(
         [&]() -> Result<void> {
           KvTransaction transaction;
-          transaction.compares.push_back({PlaceKey(ticket_->place), ticket_->holding});
-          transaction.deletes.push_back(PlaceKey(ticket_->place));
+          transaction.compares.push_back({PlaceKey(claim_->place), claim_->holder_value});
+          transaction.deletes.push_back(PlaceKey(claim_->place));
           BOOST_LEAF_CHECK(store_.Commit(transaction));
           return {};
         },
         [](const Failure&) {});
-    Forget();
+    ResetClaim();
   }
 
  private:
@@ -95,53 +95,54 @@
   static std::string FencingKey() { return "/ridgehold/roles/fencing"; }
 
   Result<bool> TryPlace(int place) {
-    const TimePoint begun = options_.now();
+    const TimePoint call_start = options_.now();
     BOOST_LEAF_AUTO(lease, store_.GrantLease(options_.ttl));
     // The lease's id makes this holding's name its own.
-    const std::string holding = daemon_.value() + " " + std::to_string(lease.value());
+    const std::string holder_value = daemon_.value() + " " + std::to_string(lease.value());
     KvTransaction transaction;
     transaction.compares.push_back({PlaceKey(place), std::nullopt});
-    transaction.puts.push_back({PlaceKey(place), holding, lease});
-    BOOST_LEAF_AUTO(answer, store_.Commit(transaction));
-    if (!answer.succeeded) return false;
-    ticket_ = ReloadTicket{place, holding};
+    transaction.puts.push_back({PlaceKey(place), holder_value, lease});
+    BOOST_LEAF_AUTO(response, store_.Commit(transaction));
+    if (!response.succeeded) return false;
+    claim_ = ReloadClaim{place, holder_value};
     lease_ = lease;
-    clock_.Renew(begun, options_.ttl);
+    clock_.Renew(call_start, options_.ttl);
     return true;
   }
 
-  Result<std::optional<std::uint64_t>> TakeNumber() {
-    constexpr int kTries = 4;
-    for (int left = kTries; left > 0; --left) {
+  Result<std::optional<std::uint64_t>> IncrementFencingToken() {
+    constexpr int kMaxAttempts = 4;
+    for (int left = kMaxAttempts; left > 0; --left) {
       BOOST_LEAF_AUTO(stored, store_.Get(FencingKey()));
       const std::uint64_t last = stored ? std::stoull(stored->value) : 0;
       const std::uint64_t next = last + 1;
       KvTransaction transaction;
-      transaction.compares.push_back({PlaceKey(ticket_->place), ticket_->holding});
+      transaction.compares.push_back({PlaceKey(claim_->place), claim_->holder_value});
       transaction.compares.push_back(
           {FencingKey(), stored ? std::optional(stored->value) : std::nullopt});
       transaction.puts.push_back({FencingKey(), std::to_string(next), std::nullopt});
-      transaction.reads_on_failure = {PlaceKey(ticket_->place)};
-      BOOST_LEAF_AUTO(answer, store_.Commit(transaction));
-      if (answer.succeeded) return std::make_optional(next);
-      const bool lost = answer.reads.empty() || answer.reads.front().value != ticket_->holding;
+      transaction.reads_on_failure = {PlaceKey(claim_->place)};
+      BOOST_LEAF_AUTO(response, store_.Commit(transaction));
+      if (response.succeeded) return std::make_optional(next);
+      const bool lost =
+          response.reads.empty() || response.reads.front().value != claim_->holder_value;
       if (lost) {
-        Forget();
+        ResetClaim();
         return std::optional<std::uint64_t>();
       }
     }
     return std::optional<std::uint64_t>();
   }
 
-  void Forget() {
-    ticket_.reset();
+  void ResetClaim() {
+    claim_.reset();
     clock_.Drop();
   }
 
   Store& store_;
   DaemonId daemon_;
   Options options_;
-  std::optional<ReloadTicket> ticket_;
+  std::optional<ReloadClaim> claim_;
   std::optional<LeaseId> lease_;
   LeaseClock clock_;
 };
--- a/libs/reload/src/reload_plan.cc
+++ b/libs/reload/src/reload_plan.cc
@@ -3,15 +3,15 @@
 namespace ridgehold {
 
 std::optional<ReloadOrder> ReloadPlan::Next(const Config& config,
-                                            std::span<const BackendState> rows, TimePoint now) {
+                                            std::span<const BackendState> backends, TimePoint now) {
   std::optional<ReloadOrder> next;
-  for (const BackendState& row : rows) {
+  for (const BackendState& row : backends) {
     const BackendServer& server = row.server;
     const auto model = config.models().find(server.model);
     const bool ours = row.present && server.zone == zone_ && model != config.models().end();
     if (!ours || !model->second.reloads || row.weights.value().empty()) continue;
     const auto ordered = ordered_.find(server.id);
-    const bool waiting = ordered != ordered_.end() && now - ordered->second < kOrderPause;
+    const bool waiting = ordered != ordered_.end() && now - ordered->second < kOrderRetryInterval;
     if (row.weights == model->second.weights) {
       if (ordered != ordered_.end()) ordered_.erase(ordered);
       continue;
--- a/libs/reload/test/reload-test.cc
+++ b/libs/reload/test/reload-test.cc
@@ -13,7 +13,7 @@
 const TimePoint kStart{std::chrono::hours(1)};
 
 /// A store whose time the test sets, and whose answers may get lost.
-class TimedStore {
+class FakeStore {
  public:
   standin::KvTable table;
   TimePoint now = kStart;
@@ -40,24 +40,24 @@
   }
 };
 
-using Role = ReloadRole<TimedStore>;
+using Role = ReloadRole<FakeStore>;
 
-std::unique_ptr<Role> MakeRole(TimedStore& store, const std::string& daemon) {
+std::unique_ptr<Role> MakeRole(FakeStore& store, const std::string& daemon) {
   return std::make_unique<Role>(store, DaemonId(daemon),
                                 Role::Options{.ttl = 10s, .now = [&store] { return store.now; }});
 }
 
 /// An engine that takes orders; `checks` says whether it heeds fencing numbers.
-struct OrderedEngine {
-  bool checks = true;
+struct FakeEngine {
+  bool checks_fencing = true;
   std::string weights = "w1";
   std::uint64_t highest = 0;
   std::vector<std::string> history = {"w1"};
 
-  bool Take(const ReloadOrder& order, std::uint64_t fencing) {
-    if (checks && fencing < highest) return false;
+  bool Load(const ReloadOrder& order, std::uint64_t fencing_token) {
+    if (checks_fencing && fencing_token < highest) return false;
     if (order.from.value() != weights) return false;
-    highest = std::max(highest, fencing);
+    highest = std::max(highest, fencing_token);
     weights = order.to.value();
     history.push_back(weights);
     return true;
@@ -65,9 +65,9 @@
 };
 
 /// An order a daemon has decided on and not sent yet.
-struct HeldOrder {
+struct PendingOrder {
   ReloadOrder order;
-  std::uint64_t fencing;
+  std::uint64_t fencing_token;
 };
 
 }  // namespace
@@ -84,7 +84,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(only_as_many_hold_a_place_as_there_are) {
-  TimedStore store;
+  FakeStore store;
   auto a = MakeRole(store, "a");
   auto b = MakeRole(store, "b");
   auto c = MakeRole(store, "c");
@@ -96,31 +96,31 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_holder_frozen_beyond_its_lease_gets_no_number_and_knows_it) {
-  TimedStore store;
+  FakeStore store;
   auto frozen = MakeRole(store, "frozen");
   auto other = MakeRole(store, "other");
   auto successor = MakeRole(store, "successor");
   BOOST_TEST(frozen->Acquire());
   BOOST_TEST(other->Acquire());
-  const auto first = frozen->NextFencing();
+  const auto first = frozen->NextFencingToken();
   store.now += 11s;
   other->KeepAlive();
   BOOST_TEST(successor->Acquire());
   BOOST_TEST(!frozen->Held());
-  BOOST_TEST(!frozen->NextFencing().has_value());
-  BOOST_TEST(successor->NextFencing().value() > first.value());
+  BOOST_TEST(!frozen->NextFencingToken().has_value());
+  BOOST_TEST(successor->NextFencingToken().value() > first.value());
 }
 
 RC_BOOST_PROP(at_most_two_hold_a_place_and_late_orders_never_revert_an_engine, ()) {
   constexpr std::size_t kDaemons = 4;
-  TimedStore store;
+  FakeStore store;
   std::vector<std::unique_ptr<Role>> roles;
-  std::vector<std::optional<HeldOrder>> decided(kDaemons);
+  std::vector<std::optional<PendingOrder>> decided(kDaemons);
   for (std::size_t i = 0; i < kDaemons; ++i) {
     roles.push_back(MakeRole(store, "d" + std::to_string(i)));
   }
-  OrderedEngine engine;
-  engine.checks = *rc::gen::arbitrary<bool>();
+  FakeEngine engine;
+  engine.checks_fencing = *rc::gen::arbitrary<bool>();
   int target = 2;
   const int steps = *rc::gen::inRange(1, 80);
   for (int step = 0; step < steps; ++step) {
@@ -136,15 +136,15 @@
         break;
       case 2:  // decides on an order, and may be frozen before sending it
         if (role.Held() && engine.weights != "w" + std::to_string(target)) {
-          if (const auto fencing = role.NextFencing()) {
-            decided[at] = HeldOrder{{BackendId("e"), "", WeightsVersion(engine.weights),
-                                     WeightsVersion("w" + std::to_string(target))},
-                                    *fencing};
+          if (const auto fencing_token = role.NextFencingToken()) {
+            decided[at] = PendingOrder{{BackendId("e"), "", WeightsVersion(engine.weights),
+                                        WeightsVersion("w" + std::to_string(target))},
+                                       *fencing_token};
           }
         }
         break;
       case 3:  // sends it, however late: the check before sending can be outrun
-        if (decided[at]) engine.Take(decided[at]->order, decided[at]->fencing);
+        if (decided[at]) engine.Load(decided[at]->order, decided[at]->fencing_token);
         decided[at].reset();
         break;
       case 4:
@@ -155,7 +155,7 @@
     }
     const auto held = std::count_if(roles.begin(), roles.end(),
                                     [](const auto& holder) { return holder->Held(); });
-    RC_ASSERT(held <= Role::kPlaces);
+    RC_ASSERT(held <= Role::kMaxConcurrentReloads);
   }
   for (std::size_t i = 1; i < engine.history.size(); ++i) {
     RC_ASSERT(std::stoi(engine.history[i].substr(1)) > std::stoi(engine.history[i - 1].substr(1)));
@@ -170,29 +170,29 @@
                            "create model n weights w2\n");
       },
       [](const Failure&) { return Config(); });
-  std::vector<BackendState> rows(3);
-  for (std::size_t i = 0; i < rows.size(); ++i) {
-    rows[i].server.id = BackendId("e" + std::to_string(i));
-    rows[i].server.zone = ZoneId("a");
-    rows[i].server.model = ModelId(i == 2 ? "n" : "m");
-    rows[i].weights = WeightsVersion("w1");
+  std::vector<BackendState> backends(3);
+  for (std::size_t i = 0; i < backends.size(); ++i) {
+    backends[i].server.id = BackendId("e" + std::to_string(i));
+    backends[i].server.zone = ZoneId("a");
+    backends[i].server.model = ModelId(i == 2 ? "n" : "m");
+    backends[i].weights = WeightsVersion("w1");
   }
-  TimedStore store;
+  FakeStore store;
   std::vector<std::string> ordered;
-  WeightReloader<TimedStore> reloader(
+  WeightReloader<FakeStore> reloader(
       Role(store, DaemonId("d"), {.ttl = 10s, .now = [&store] { return store.now; }}),
       ReloadPlan(ZoneId("a")), [&](const ReloadOrder& order, std::uint64_t) {
         ordered.push_back(order.engine.value());
         return true;
       });
-  const auto step = [&] { reloader.Step(config, rows, store.now); };
+  const auto step = [&] { reloader.Step(config, backends, store.now); };
   step();
   step();
   BOOST_TEST(ordered == (std::vector<std::string>{"e0"}), boost::test_tools::per_element());
-  rows[0].weights = WeightsVersion("w2");
+  backends[0].weights = WeightsVersion("w2");
   step();
   BOOST_TEST(ordered.back() == "e1");
-  rows[1].weights = WeightsVersion("w2");
+  backends[1].weights = WeightsVersion("w2");
   step();
   BOOST_TEST(ordered.size() == 2U);  // model n is reloaded by hand
 }
--- a/libs/settings/include/settings/ini_document.h
+++ b/libs/settings/include/settings/ini_document.h
@@ -1,4 +1,4 @@
-// An INI file's entries with their line numbers (read by inih).
+// Entries of an INI file with their line numbers (parsed by inih).
 
 #pragma once
 
@@ -16,10 +16,10 @@
   int line = 0;
 };
 
-/// All entries of a file, in order.
+/// All entries of a file, in file order.
 struct IniDocument {
   std::vector<IniEntry> entries;
-  int first_bad_line = 0;  ///< 0: every line could be read
+  int first_bad_line = 0;  ///< first malformed or overlong line; 0: none
 
   static IniDocument Parse(std::string_view text);
 };
--- a/libs/settings/include/settings/settings.h
+++ b/libs/settings/include/settings/settings.h
@@ -1,4 +1,4 @@
-// A daemon's settings, as read from its INI file.
+// The settings in a daemon's INI file.
 
 #pragma once
 
@@ -13,7 +13,7 @@
 
 namespace ridgehold {
 
-/// Every setting with its default. examples/*.ini explains each key.
+/// All settings with their defaults. The files in examples/ (*.ini) document each key.
 struct Settings {
   // [daemon]
   DaemonId daemon;  ///< `id`
@@ -31,7 +31,7 @@
   // [operator]
   std::string operator_address = "127.0.0.1";
   std::uint16_t operator_port = 8081;
-  std::string operator_key_sha256;  ///< empty: no key is asked for
+  std::string operator_key_sha256;  ///< empty: no key is required
 
   // [platform]
   std::string platform_url;
@@ -42,9 +42,9 @@
   std::string peer_address = "127.0.0.1";
   std::uint16_t peer_port = 8082;
   std::vector<std::string> peer_seeds;  ///< `address:port`
-  std::string peer_public_key;          ///< Z85; empty: links are not encrypted
+  std::string peer_public_key;          ///< Z85; empty: connections are not encrypted
   std::string peer_secret_key;
-  std::string peer_previous_public_key;  ///< still accepted during a rotation
+  std::string peer_previous_public_key;  ///< still accepted during key rotation
   std::chrono::milliseconds heartbeat{1'000};
 
   // [limits]
@@ -57,7 +57,7 @@
   std::uint32_t retry_budget_percent = 10;
 
   // [cache]
-  std::uint64_t picture_bytes = std::uint64_t{48} << 20;
+  std::uint64_t cache_index_bytes = std::uint64_t{48} << 20;  ///< `picture`
   std::chrono::milliseconds event_poll{200};
   std::chrono::milliseconds load_poll{200};
 
@@ -70,11 +70,11 @@
   std::string log_layout = "json";
 };
 
-/// Reads settings from INI text. All faults are named at once, one a line as
-/// `file:line: fault`, in the detail of one kInvalidSettings failure.
+/// Parses settings from INI text. On error returns one kInvalidSettings failure whose detail
+/// lists all errors, one per line, as `file:line: message`.
 Result<Settings> ParseSettings(std::string_view text, const std::string& file);
 
-/// Reads the file at `path`.
+/// Loads settings from the file at `path`. Errors are as for `ParseSettings`.
 Result<Settings> LoadSettings(const std::string& path);
 
 }  // namespace ridgehold
--- a/libs/settings/include/settings/units.h
+++ b/libs/settings/include/settings/units.h
@@ -1,4 +1,4 @@
-// Values with units, as settings and commands write them: `250ms`, `64MiB`.
+// Parsers for values in settings and commands, such as `250ms` and `64MiB`.
 
 #pragma once
 
@@ -9,13 +9,13 @@
 
 namespace ridgehold {
 
-/// Reads a whole number without a unit.
+/// Parses a non-negative integer without a unit.
 std::optional<std::uint64_t> ParseCount(std::string_view text);
 
-/// Reads a time such as `250ms`, `4s` or `2min`. A bare number is refused.
+/// Parses a duration such as `250ms`, `4s` or `2min`. Rejects a number without a unit.
 std::optional<std::chrono::milliseconds> ParseDuration(std::string_view text);
 
-/// Reads a size such as `512B`, `16KiB` or `64MiB`. A bare number is refused.
+/// Parses a size such as `512B`, `16KiB` or `64MiB`. Rejects a number without a unit.
 std::optional<std::uint64_t> ParseBytes(std::string_view text);
 
 }  // namespace ridgehold
--- a/libs/settings/src/ini_document.cc
+++ b/libs/settings/src/ini_document.cc
@@ -8,8 +8,8 @@
 namespace ridgehold {
 namespace {
 
-/// What inih's callbacks share. inih tells no line numbers, so its reader
-/// counts the lines it hands out.
+/// State shared by inih's callbacks. inih does not report line numbers, so `ReadLine` counts
+/// the lines that it returns.
 struct Cursor {
   std::string_view rest;
   int line = 0;
@@ -31,7 +31,7 @@
   return buffer;
 }
 
-int TakeEntry(void* user, const char* section, const char* name, const char* value) {
+int AddEntry(void* user, const char* section, const char* name, const char* value) {
   constexpr int kHandled = 1;
   auto* cursor = static_cast<Cursor*>(user);
   cursor->document.entries.push_back({section, name, value != nullptr ? value : "", cursor->line});
@@ -43,7 +43,7 @@
 IniDocument IniDocument::Parse(std::string_view text) {
   Cursor cursor;
   cursor.rest = text;
-  const int bad_line = ini_parse_stream(&ReadLine, &cursor, &TakeEntry, &cursor);
+  const int bad_line = ini_parse_stream(&ReadLine, &cursor, &AddEntry, &cursor);
   cursor.document.first_bad_line = bad_line != 0 ? bad_line : cursor.overlong_line;
   return std::move(cursor.document);
 }
--- a/libs/settings/src/settings.cc
+++ b/libs/settings/src/settings.cc
@@ -17,14 +17,14 @@
 constexpr std::size_t kZ85KeyLength = 40;
 constexpr std::size_t kSha256HexLength = 64;
 
-/// Moves entries into fields and collects every fault on the way.
+/// Reads entries into settings fields and collects all errors.
 class Reader {
  public:
   Reader(const IniDocument& document, std::string file)
       : document_(document), file_(std::move(file)), used_(document.entries.size(), false) {}
 
   void Text(const char* section, const char* key, std::string& field) {
-    if (const IniEntry* entry = Take(section, key)) field = entry->value;
+    if (const IniEntry* entry = FindAndMarkUsed(section, key)) field = entry->value;
   }
 
   template <class Tag>
@@ -32,52 +32,54 @@
     std::string text;
     Text(section, key, text);
     if (text.empty()) {
-      AddFault(0, std::string("[") + section + "] " + key + " is missing");
+      AddError(0, std::string("[") + section + "] " + key + " is missing");
       return;
     }
     if (text.find_first_of(" \t\"'") != std::string::npos) {
-      AddFault(LineOf(section, key), std::string(key) + " has a blank or a quote in it");
+      AddError(LineOf(section, key), std::string(key) + " contains whitespace or a quotation mark");
     }
     field = Strong<Tag, std::string>(text);
   }
 
   template <class Number>
-  void Count(const char* section, const char* key, Number& field, std::uint64_t least,
-             std::uint64_t most) {
-    const IniEntry* entry = Take(section, key);
+  void Count(const char* section, const char* key, Number& field, std::uint64_t min,
+             std::uint64_t max) {
+    const IniEntry* entry = FindAndMarkUsed(section, key);
     if (entry == nullptr) return;
     const auto value = ParseCount(entry->value);
-    if (!value) return AddFault(entry->line, Says(*entry) + " is not a whole number");
-    if (*value < least || *value > most) return AddRangeFault(*entry, least, most, "");
+    if (!value)
+      return AddError(entry->line, KeyValueText(*entry) + " is not a non-negative integer");
+    if (*value < min || *value > max) return AddRangeError(*entry, min, max, "");
     field = static_cast<Number>(*value);
   }
 
-  void Bytes(const char* section, const char* key, std::uint64_t& field, std::uint64_t least,
-             std::uint64_t most) {
-    const IniEntry* entry = Take(section, key);
+  void Bytes(const char* section, const char* key, std::uint64_t& field, std::uint64_t min,
+             std::uint64_t max) {
+    const IniEntry* entry = FindAndMarkUsed(section, key);
     if (entry == nullptr) return;
     const auto value = ParseBytes(entry->value);
-    if (!value) return AddFault(entry->line, Says(*entry) + " is not a size such as 64MiB");
-    if (*value < least || *value > most) return AddRangeFault(*entry, least, most, "B");
+    if (!value) return AddError(entry->line, KeyValueText(*entry) + " is not a size such as 64MiB");
+    if (*value < min || *value > max) return AddRangeError(*entry, min, max, "B");
     field = *value;
   }
 
   template <class Time>
-  void Period(const char* section, const char* key, Time& field, milliseconds least,
-              milliseconds most) {
-    const IniEntry* entry = Take(section, key);
+  void Period(const char* section, const char* key, Time& field, milliseconds min,
+              milliseconds max) {
+    const IniEntry* entry = FindAndMarkUsed(section, key);
     if (entry == nullptr) return;
     const auto value = ParseDuration(entry->value);
-    if (!value) return AddFault(entry->line, Says(*entry) + " is not a time such as 250ms");
-    if (*value < least || *value > most) {
-      return AddRangeFault(*entry, static_cast<std::uint64_t>(least.count()),
-                           static_cast<std::uint64_t>(most.count()), "ms");
+    if (!value)
+      return AddError(entry->line, KeyValueText(*entry) + " is not a duration such as 250ms");
+    if (*value < min || *value > max) {
+      return AddRangeError(*entry, static_cast<std::uint64_t>(min.count()),
+                           static_cast<std::uint64_t>(max.count()), "ms");
     }
     field = std::chrono::duration_cast<Time>(*value);
   }
 
   void List(const char* section, const char* key, std::vector<std::string>& field) {
-    const IniEntry* entry = Take(section, key);
+    const IniEntry* entry = FindAndMarkUsed(section, key);
     if (entry == nullptr) return;
     std::istringstream words(entry->value);
     field.assign(std::istream_iterator<std::string>(words), {});
@@ -85,50 +87,50 @@
 
   void Choice(const char* section, const char* key, std::string& field,
               std::initializer_list<std::string_view> choices) {
-    const IniEntry* entry = Take(section, key);
+    const IniEntry* entry = FindAndMarkUsed(section, key);
     if (entry == nullptr) return;
     if (std::ranges::find(choices, entry->value) == choices.end()) {
-      return AddFault(entry->line, Says(*entry) + " is not one of the known values");
+      return AddError(entry->line, KeyValueText(*entry) + " is not an allowed value");
     }
     field = entry->value;
   }
 
-  /// Faults that belong to a value already taken.
-  void Require(bool holds, const char* section, const char* key, const std::string& fault) {
-    if (!holds) AddFault(LineOf(section, key), std::string(key) + " " + fault);
+  /// Adds an error about a value that was read before, unless `condition` holds.
+  void Require(bool condition, const char* section, const char* key, const std::string& error) {
+    if (!condition) AddError(LineOf(section, key), std::string(key) + " " + error);
   }
 
-  void CheckUnused() {
+  void CheckUnusedEntries() {
     for (std::size_t i = 0; i < used_.size(); ++i) {
       const IniEntry& entry = document_.entries[i];
-      if (!used_[i]) AddFault(entry.line, "[" + entry.section + "] has no key " + entry.key);
+      if (!used_[i]) AddError(entry.line, "[" + entry.section + "] has no key " + entry.key);
     }
     if (document_.first_bad_line != 0) {
-      AddFault(document_.first_bad_line, "cannot be read as `key = value`");
+      AddError(document_.first_bad_line, "is not a valid `key = value` line");
     }
   }
 
-  std::string Faults() const {
+  std::string Errors() const {
     std::string all;
-    for (const Fault& fault : faults_) {
-      all += file_ + ":" + std::to_string(fault.line) + ": " + fault.text + "\n";
+    for (const Error& error : errors_) {
+      all += file_ + ":" + std::to_string(error.line) + ": " + error.text + "\n";
     }
     return all;
   }
 
  private:
-  struct Fault {
+  struct Error {
     int line;
     std::string text;
   };
 
-  const IniEntry* Take(std::string_view section, std::string_view key) {
+  const IniEntry* FindAndMarkUsed(std::string_view section, std::string_view key) {
     const IniEntry* found = nullptr;
     for (std::size_t i = 0; i < used_.size(); ++i) {
       const IniEntry& entry = document_.entries[i];
       if (entry.section != section || entry.key != key) continue;
       used_[i] = true;
-      if (found != nullptr) AddFault(entry.line, entry.key + " is set twice");
+      if (found != nullptr) AddError(entry.line, entry.key + " is set twice");
       found = &entry;
     }
     return found;
@@ -141,20 +143,20 @@
     return 0;
   }
 
-  static std::string Says(const IniEntry& entry) { return entry.key + " = " + entry.value; }
+  static std::string KeyValueText(const IniEntry& entry) { return entry.key + " = " + entry.value; }
 
-  void AddFault(int line, std::string text) { faults_.push_back({line, std::move(text)}); }
+  void AddError(int line, std::string text) { errors_.push_back({line, std::move(text)}); }
 
-  void AddRangeFault(const IniEntry& entry, std::uint64_t least, std::uint64_t most,
+  void AddRangeError(const IniEntry& entry, std::uint64_t min, std::uint64_t max,
                      const std::string& unit) {
-    AddFault(entry.line, Says(entry) + " is not within " + std::to_string(least) + unit + " and " +
-                             std::to_string(most) + unit);
+    AddError(entry.line, KeyValueText(entry) + " is not between " + std::to_string(min) + unit +
+                             " and " + std::to_string(max) + unit);
   }
 
   const IniDocument& document_;
   std::string file_;
   std::vector<bool> used_;
-  std::vector<Fault> faults_;
+  std::vector<Error> errors_;
 };
 
 void ReadListeners(Reader& reader, Settings& s) {
@@ -172,7 +174,7 @@
                  "operator", "key_sha256", "is not 64 hexadecimal digits");
   reader.Require(s.operator_port == 0 || s.operator_port != s.caller_port ||
                      s.operator_address != s.caller_address,
-                 "operator", "port", "is the caller listener's too");
+                 "operator", "port", "is also the caller listener's port");
 }
 
 void ReadPeers(Reader& reader, Settings& s) {
@@ -184,7 +186,7 @@
   reader.Text("peers", "previous_public_key", s.peer_previous_public_key);
   reader.Period("peers", "heartbeat", s.heartbeat, milliseconds(20), seconds(10));
   reader.Require(s.peer_public_key.empty() == s.peer_secret_key.empty(), "peers", "public_key",
-                 "and secret_key go together");
+                 "and secret_key must be set together");
   reader.Require(s.peer_public_key.empty() || s.peer_public_key.size() == kZ85KeyLength, "peers",
                  "public_key", "is not 40 characters of Z85");
   reader.Require(s.peer_secret_key.empty() || s.peer_secret_key.size() == kZ85KeyLength, "peers",
@@ -200,7 +202,7 @@
   reader.Bytes("limits", "stream_buffer", s.stream_buffer_bytes, 4 << 10, 64 << 20);
   reader.Count("limits", "max_tries", s.max_tries, 1, 10);
   reader.Count("limits", "retry_budget_percent", s.retry_budget_percent, 0, 100);
-  reader.Bytes("cache", "picture", s.picture_bytes, 1 << 20, std::uint64_t{4} << 30);
+  reader.Bytes("cache", "picture", s.cache_index_bytes, 1 << 20, std::uint64_t{4} << 30);
   reader.Period("cache", "event_poll", s.event_poll, milliseconds(0), seconds(60));
   reader.Period("cache", "load_poll", s.load_poll, milliseconds(0), seconds(60));
   reader.Period("shutdown", "lame_duck", s.lame_duck, milliseconds(0), seconds(300));
@@ -225,9 +227,9 @@
   ReadLimits(reader, s);
   reader.Choice("log", "level", s.log_level, {"debug", "info", "warn", "error"});
   reader.Choice("log", "layout", s.log_layout, {"json", "plain"});
-  reader.CheckUnused();
-  std::string faults = reader.Faults();
-  if (!faults.empty()) return Fail(ResultCode::kInvalidSettings, std::move(faults));
+  reader.CheckUnusedEntries();
+  std::string errors = reader.Errors();
+  if (!errors.empty()) return Fail(ResultCode::kInvalidSettings, std::move(errors));
   return s;
 }
 
--- a/libs/sse/include/sse/sse.h
+++ b/libs/sse/include/sse/sse.h
@@ -1,4 +1,4 @@
-// Server-sent events: bytes in, events out.
+// An incremental parser for server-sent events (SSE).
 
 #pragma once
 
@@ -8,29 +8,29 @@
 
 namespace ridgehold {
 
-/// One event.
+/// One event; fields that it does not have are empty.
 struct SseEvent {
   std::string id;
   std::string type;
   std::string data;
-  std::string raw;  ///< the event as it came, with the blank line that ends it
+  std::string raw;  ///< the unparsed event, including the terminating blank line
 };
 
-/// Collects bytes until an event is whole. Bounded: an event of more than
-/// kMaxEventBytes makes it fail.
+/// Buffers bytes until an event is complete. Fails when an incomplete event exceeds
+/// `kMaxEventBytes`.
 class SseReader {
  public:
   static constexpr std::size_t kMaxEventBytes = std::size_t{1} << 20;
 
   void Append(std::string_view bytes);
 
-  /// Returns the next whole event, or nothing yet.
+  /// Returns the next complete event, or nullopt if more bytes are needed or parsing failed.
   std::optional<SseEvent> Next();
 
-  /// Whether an event was too long; nothing more comes out.
+  /// Whether an event was too long; `Next` then returns no more events.
   bool failed() const { return failed_; }
 
-  /// Whether bytes of an unfinished event are left.
+  /// Whether the buffer holds bytes that `Next` has not returned.
   bool has_partial_event() const { return position_ < buffer_.size(); }
 
  private:
@@ -39,7 +39,7 @@
   bool failed_ = false;
 };
 
-/// Writes an event that has only data.
+/// Formats an event with only a `data` field. `data` must not contain line breaks.
 std::string FormatSse(std::string_view data);
 
 }  // namespace ridgehold
--- a/libs/sse/src/sse.cc
+++ b/libs/sse/src/sse.cc
@@ -6,12 +6,13 @@
 namespace {
 
 constexpr std::string_view kBlankLine = "\n\n";
-constexpr std::string_view kBlankLineWithReturns = "\r\n\r\n";
+constexpr std::string_view kBlankLineCrLf = "\r\n\r\n";
 
-void TakeLine(std::string_view line, SseEvent& event) {
+void ParseLine(std::string_view line, SseEvent& event) {
   if (line.ends_with('\r')) line.remove_suffix(1);
   const std::size_t colon = line.find(':');
-  if (colon == 0 || colon == std::string_view::npos) return;  // a comment, or no field
+  if (colon == 0 || colon == std::string_view::npos)
+    return;  // a comment, or a line without a value
   const std::string_view name = line.substr(0, colon);
   std::string_view value = line.substr(colon + 1);
   if (value.starts_with(' ')) value.remove_prefix(1);
@@ -22,13 +23,13 @@
   event.data += value;
 }
 
-/// Returns where the first event of `text` ends, behind its blank line.
+/// Returns the length of the first event in `text`, including its terminating blank line, or
+/// npos if the event is incomplete.
 std::size_t EndOfEvent(std::string_view text) {
-  const std::size_t plain = text.find(kBlankLine);
-  const std::size_t with_returns = text.find(kBlankLineWithReturns);
-  if (plain == std::string_view::npos && with_returns == std::string_view::npos) return plain;
-  return plain < with_returns ? plain + kBlankLine.size()
-                              : with_returns + kBlankLineWithReturns.size();
+  const std::size_t lf = text.find(kBlankLine);
+  const std::size_t crlf = text.find(kBlankLineCrLf);
+  if (lf == std::string_view::npos && crlf == std::string_view::npos) return lf;
+  return lf < crlf ? lf + kBlankLine.size() : crlf + kBlankLineCrLf.size();
 }
 
 }  // namespace
@@ -54,7 +55,7 @@
   std::string_view lines = event.raw;
   while (!lines.empty()) {
     const std::size_t newline = lines.find('\n');
-    TakeLine(lines.substr(0, newline), event);
+    ParseLine(lines.substr(0, newline), event);
     lines = newline == std::string_view::npos ? std::string_view() : lines.substr(newline + 1);
   }
   position_ += end;
