--- a/libs/reload/include/reload/reload_plan.h
+++ b/libs/reload/include/reload/reload_plan.h
@@ -1,4 +1,4 @@
-// Which engine should load other weights next.
+// Selects the next engine to reload.
 
 #pragma once
 
@@ -13,9 +13,8 @@
 
 namespace ridgehold {
 
-/// An order to load weights. The engine carries it out only while it still has
-/// `from`; engines that check fencing numbers refuse it too once a newer order
-/// was seen.
+/// An order to load weights. The engine executes it only while it runs `from`. Engines that
+/// check fencing tokens also reject it after they have seen a higher token.
 struct ReloadOrder {
   BackendId engine;
   std::string url;
@@ -23,27 +22,28 @@
   WeightsVersion to;
 };
 
-/// Chooses the engines to reload, one after the other. Pure but for what it
-/// remembers of its own orders; not thread-safe.
+/// Selects engines to reload, one at a time. Its only state is the time of each order that was
+/// sent. Not thread-safe.
 class ReloadPlan {
  public:
-  /// An engine is not ordered again before this has passed.
+  /// Minimum time between two orders to the same engine.
   static constexpr std::chrono::seconds kOrderRetryInterval{30};
 
   explicit ReloadPlan(ZoneId zone) : zone_(std::move(zone)) {}
 
-  /// Returns the next order for an engine of the own zone whose model is set
-  /// to reload by itself and whose reported weights are others than
-  /// configured; nothing while an ordered engine has not reported back.
+  /// Returns an order for an engine in this zone whose model has automatic reload and whose
+  /// reported weights differ from the configured ones. Returns nullopt if there is none, or if
+  /// an engine was sent an order less than `kOrderRetryInterval` ago and does not yet report
+  /// the configured weights.
   std::optional<ReloadOrder> Next(const Config& config, std::span<const BackendState> backends,
                                   TimePoint now);
 
-  /// The order was sent, or failed.
-  void RecordOrder(const BackendId& engine, TimePoint now) { ordered_[engine] = now; }
+  /// Records that an order was sent to `engine`, whether or not it succeeded.
+  void RecordOrder(const BackendId& engine, TimePoint now) { last_order_times_[engine] = now; }
 
  private:
   ZoneId zone_;
-  std::map<BackendId, TimePoint> ordered_;
+  std::map<BackendId, TimePoint> last_order_times_;
 };
 
 }  // namespace ridgehold
--- a/libs/reload/include/reload/reload_role.h
+++ b/libs/reload/include/reload/reload_role.h
@@ -1,4 +1,4 @@
-// One of the deployment's few places for reloading weights, held by one daemon at a time.
+// A lease on one of the deployment's places for concurrent weight reloads.
 
 #pragma once
 
@@ -17,19 +17,20 @@
 
 namespace ridgehold {
 
-/// Names a holding of a place: no two holdings of it have the same.
+/// A held place. `holder_value`, the value of the place's key, is unique to this acquisition.
 struct ReloadClaim {
   int place = 0;
   std::string holder_value;
 };
 
-/// A role is held through a leased key. Every single order gets a fencing
-/// number of its own, taken while the key is still there, so numbers rise in
-/// the order in which they were allowed. Not thread-safe; calls block.
+/// Acquires one of `kMaxConcurrentReloads` places. Each place is a leased key, held by one
+/// daemon at a time. Every order gets its own fencing token, which is taken in a transaction
+/// that requires the key still to be held; tokens therefore increase in the order in which
+/// orders were permitted. Not thread-safe; calls block on the store.
 template <KvStore Store>
 class ReloadRole {
  public:
-  /// So many engines reload at once; more would slow the weight store down.
+  /// Number of engines that may reload at the same time; more would slow down the weight store.
   static constexpr int kMaxConcurrentReloads = 2;
 
   struct Options {
@@ -40,22 +41,22 @@
   ReloadRole(Store& store, DaemonId daemon, Options options)
       : store_(store), daemon_(std::move(daemon)), options_(std::move(options)) {}
 
-  /// Takes a free place. Returns whether one is held now.
+  /// Tries to acquire a free place. Returns whether one is held.
   bool Acquire() {
     for (int place = 0; place < kMaxConcurrentReloads && !Held(); ++place) {
-      ValueOr([&] { return TryPlace(place); }, [](const Failure&) { return false; });
+      ValueOr([&] { return TryAcquirePlace(place); }, [](const Failure&) { return false; });
     }
     return Held();
   }
 
-  /// Keeps the place. Returns whether it is still held.
+  /// Renews the lease. Returns whether the place is still held.
   bool KeepAlive() {
     if (!claim_) return false;
     const TimePoint call_start = options_.now();
     const auto alive = ValueOr(
         [&]() -> Result<std::optional<bool>> {
-          BOOST_LEAF_AUTO(lives, store_.KeepAlive(*lease_));
-          return std::optional(lives);
+          BOOST_LEAF_AUTO(is_alive, store_.KeepAlive(*lease_));
+          return std::optional(is_alive);
         },
         [](const Failure&) { return std::optional<bool>(); });
     if (alive && *alive) clock_.Renew(call_start, options_.ttl);
@@ -63,17 +64,18 @@
     return Held();
   }
 
-  /// Whether the place is certainly held now, by the local clock.
+  /// Whether the lease is valid by the local clock, with a safety margin.
   bool Held() const { return claim_.has_value() && clock_.MayAct(options_.now()); }
 
-  /// Takes the next fencing number, if the place is still held at the store.
+  /// Returns the next fencing token. Returns nullopt if the place is no longer held, the store
+  /// cannot be reached, or other holders won every attempt to increment the token.
   std::optional<std::uint64_t> NextFencingToken() {
     if (!Held()) return std::nullopt;
     return ValueOr([&] { return IncrementFencingToken(); },
                    [](const Failure&) { return std::optional<std::uint64_t>(); });
   }
 
-  /// Gives the place up.
+  /// Releases the place.
   void Release() {
     if (!claim_) return;
     ValueOr(
@@ -94,10 +96,10 @@
   }
   static std::string FencingKey() { return "/ridgehold/roles/fencing"; }
 
-  Result<bool> TryPlace(int place) {
+  Result<bool> TryAcquirePlace(int place) {
     const TimePoint call_start = options_.now();
     BOOST_LEAF_AUTO(lease, store_.GrantLease(options_.ttl));
-    // The lease's id makes this holding's name its own.
+    // The lease id makes the value unique to this acquisition.
     const std::string holder_value = daemon_.value() + " " + std::to_string(lease.value());
     KvTransaction transaction;
     transaction.compares.push_back({PlaceKey(place), std::nullopt});
@@ -112,7 +114,7 @@
 
   Result<std::optional<std::uint64_t>> IncrementFencingToken() {
     constexpr int kMaxAttempts = 4;
-    for (int left = kMaxAttempts; left > 0; --left) {
+    for (int attempts_left = kMaxAttempts; attempts_left > 0; --attempts_left) {
       BOOST_LEAF_AUTO(stored, store_.Get(FencingKey()));
       const std::uint64_t last = stored ? std::stoull(stored->value) : 0;
       const std::uint64_t next = last + 1;
--- a/libs/reload/include/reload/weight_reloader.h
+++ b/libs/reload/include/reload/weight_reloader.h
@@ -1,4 +1,4 @@
-// Lets a zone's relay bring engines to the configured weights, few at once.
+// Reloads a zone's engines to the configured weights, a few at a time; run by the zone's relay.
 
 #pragma once
 
@@ -15,35 +15,36 @@
 
 namespace ridgehold {
 
-/// Not thread-safe; Step is called every second or so and blocks for the
-/// store's calls. Asks the store for nothing while there is nothing to do.
+/// `Step` is meant to be called about once per second. It blocks on store calls, and makes none
+/// while there is nothing to reload. Not thread-safe.
 template <KvStore Store>
 class WeightReloader {
  public:
-  /// Sends an order with its fencing number; returns whether it was accepted.
+  /// Sends an order with its fencing token. Returns whether the engine accepted it.
   using SendOrder = std::function<bool(const ReloadOrder& order, std::uint64_t fencing_token)>;
 
   WeightReloader(ReloadRole<Store> role, ReloadPlan plan, SendOrder send_order)
       : role_(std::move(role)), plan_(std::move(plan)), send_order_(std::move(send_order)) {}
 
+  /// Sends the next due order, if any, and acquires, keeps or releases the place it needs.
   void Step(const Config& config, std::span<const BackendState> backends, TimePoint now) {
     const auto order = plan_.Next(config, backends, now);
-    const bool busy = !order && Pending(config, backends);
-    if (!order && !busy) return role_.Release();
+    const bool reload_pending = !order && HasPendingReload(config, backends);
+    if (!order && !reload_pending) return role_.Release();
     const bool held = role_.Held() ? role_.KeepAlive() : role_.Acquire();
     if (!held || !order) return;
     const auto fencing_token = role_.NextFencingToken();
     if (!fencing_token) return;
-    // The place may have been lost while the number was fetched, or while this
-    // process was paused; the engine's own checks cover what is left.
+    // The place may have been lost while the token was fetched or the process was suspended.
+    // The engine's own checks cover the time between this check and the arrival of the order.
     if (!role_.Held()) return;
     plan_.RecordOrder(order->engine, now);
     send_order_(*order, *fencing_token);
   }
 
  private:
-  /// Whether some engine is still to report the weights it was ordered to load.
-  static bool Pending(const Config& config, std::span<const BackendState> backends) {
+  /// Whether any engine with automatic reload reports weights other than the configured ones.
+  static bool HasPendingReload(const Config& config, std::span<const BackendState> backends) {
     for (const BackendState& row : backends) {
       const auto model = config.models().find(row.server.model);
       if (!row.present || model == config.models().end() || !model->second.reloads) continue;
--- a/libs/reload/src/reload_plan.cc
+++ b/libs/reload/src/reload_plan.cc
@@ -8,15 +8,16 @@
   for (const BackendState& row : backends) {
     const BackendServer& server = row.server;
     const auto model = config.models().find(server.model);
-    const bool ours = row.present && server.zone == zone_ && model != config.models().end();
-    if (!ours || !model->second.reloads || row.weights.value().empty()) continue;
-    const auto ordered = ordered_.find(server.id);
-    const bool waiting = ordered != ordered_.end() && now - ordered->second < kOrderRetryInterval;
+    const bool eligible = row.present && server.zone == zone_ && model != config.models().end();
+    if (!eligible || !model->second.reloads || row.weights.value().empty()) continue;
+    const auto last_order = last_order_times_.find(server.id);
+    const bool order_pending =
+        last_order != last_order_times_.end() && now - last_order->second < kOrderRetryInterval;
     if (row.weights == model->second.weights) {
-      if (ordered != ordered_.end()) ordered_.erase(ordered);
+      if (last_order != last_order_times_.end()) last_order_times_.erase(last_order);
       continue;
     }
-    if (waiting) return std::nullopt;  // one at a time for each place
+    if (order_pending) return std::nullopt;  // each holder reloads one engine at a time
     if (!next) next = ReloadOrder{server.id, server.url, row.weights, model->second.weights};
   }
   return next;
--- a/libs/reload/test/reload-test.cc
+++ b/libs/reload/test/reload-test.cc
@@ -12,7 +12,7 @@
 
 const TimePoint kStart{std::chrono::hours(1)};
 
-/// A store whose time the test sets, and whose answers may get lost.
+/// A store whose clock the test sets and whose calls fail while `down` is set.
 class FakeStore {
  public:
   standin::KvTable table;
@@ -47,24 +47,24 @@
                                 Role::Options{.ttl = 10s, .now = [&store] { return store.now; }});
 }
 
-/// An engine that takes orders; `checks` says whether it heeds fencing numbers.
+/// An engine that executes orders; `checks_fencing` tells whether it rejects old fencing tokens.
 struct FakeEngine {
   bool checks_fencing = true;
   std::string weights = "w1";
-  std::uint64_t highest = 0;
+  std::uint64_t highest_token = 0;
   std::vector<std::string> history = {"w1"};
 
   bool Load(const ReloadOrder& order, std::uint64_t fencing_token) {
-    if (checks_fencing && fencing_token < highest) return false;
+    if (checks_fencing && fencing_token < highest_token) return false;
     if (order.from.value() != weights) return false;
-    highest = std::max(highest, fencing_token);
+    highest_token = std::max(highest_token, fencing_token);
     weights = order.to.value();
     history.push_back(weights);
     return true;
   }
 };
 
-/// An order a daemon has decided on and not sent yet.
+/// An order that a daemon has created and not sent yet.
 struct PendingOrder {
   ReloadOrder order;
   std::uint64_t fencing_token;
@@ -79,11 +79,11 @@
   clock.Renew(kStart, 10s);
   BOOST_TEST(clock.MayAct(kStart + 7999ms));
   BOOST_TEST(!clock.MayAct(kStart + 8s));
-  clock.Renew(kStart - 5s, 10s);  // an older call's answer arrives late
+  clock.Renew(kStart - 5s, 10s);  // the response to an earlier call arrives late
   BOOST_TEST(clock.MayAct(kStart + 7999ms));
 }
 
-BOOST_AUTO_TEST_CASE(only_as_many_hold_a_place_as_there_are) {
+BOOST_AUTO_TEST_CASE(at_most_two_daemons_hold_a_place) {
   FakeStore store;
   auto a = MakeRole(store, "a");
   auto b = MakeRole(store, "b");
@@ -95,27 +95,27 @@
   BOOST_TEST(c->Acquire());
 }
 
-BOOST_AUTO_TEST_CASE(a_holder_frozen_beyond_its_lease_gets_no_number_and_knows_it) {
+BOOST_AUTO_TEST_CASE(a_holder_suspended_past_its_lease_gets_no_fencing_token) {
   FakeStore store;
-  auto frozen = MakeRole(store, "frozen");
+  auto suspended = MakeRole(store, "suspended");
   auto other = MakeRole(store, "other");
   auto successor = MakeRole(store, "successor");
-  BOOST_TEST(frozen->Acquire());
+  BOOST_TEST(suspended->Acquire());
   BOOST_TEST(other->Acquire());
-  const auto first = frozen->NextFencingToken();
+  const auto first = suspended->NextFencingToken();
   store.now += 11s;
   other->KeepAlive();
   BOOST_TEST(successor->Acquire());
-  BOOST_TEST(!frozen->Held());
-  BOOST_TEST(!frozen->NextFencingToken().has_value());
+  BOOST_TEST(!suspended->Held());
+  BOOST_TEST(!suspended->NextFencingToken().has_value());
   BOOST_TEST(successor->NextFencingToken().value() > first.value());
 }
 
-RC_BOOST_PROP(at_most_two_hold_a_place_and_late_orders_never_revert_an_engine, ()) {
+RC_BOOST_PROP(late_orders_never_revert_weights_with_at_most_two_holders, ()) {
   constexpr std::size_t kDaemons = 4;
   FakeStore store;
   std::vector<std::unique_ptr<Role>> roles;
-  std::vector<std::optional<PendingOrder>> decided(kDaemons);
+  std::vector<std::optional<PendingOrder>> pending_orders(kDaemons);
   for (std::size_t i = 0; i < kDaemons; ++i) {
     roles.push_back(MakeRole(store, "d" + std::to_string(i)));
   }
@@ -129,26 +129,28 @@
     store.down = *rc::gen::weightedElement<bool>({{6, false}, {1, true}});
     switch (*rc::gen::inRange(0, 6)) {
       case 0:
-        store.now += std::chrono::seconds(*rc::gen::inRange(1, 12));  // all others are paused
+        store.now +=
+            std::chrono::seconds(*rc::gen::inRange(1, 12));  // while all daemons are suspended
         break;
       case 1:
         role.Held() ? role.KeepAlive() : role.Acquire();
         break;
-      case 2:  // decides on an order, and may be frozen before sending it
+      case 2:  // creates an order; may be suspended before sending it
         if (role.Held() && engine.weights != "w" + std::to_string(target)) {
           if (const auto fencing_token = role.NextFencingToken()) {
-            decided[at] = PendingOrder{{BackendId("e"), "", WeightsVersion(engine.weights),
-                                        WeightsVersion("w" + std::to_string(target))},
-                                       *fencing_token};
+            pending_orders[at] = PendingOrder{{BackendId("e"), "", WeightsVersion(engine.weights),
+                                               WeightsVersion("w" + std::to_string(target))},
+                                              *fencing_token};
           }
         }
         break;
-      case 3:  // sends it, however late: the check before sending can be outrun
-        if (decided[at]) engine.Load(decided[at]->order, decided[at]->fencing_token);
-        decided[at].reset();
+      case 3:  // sends it however late: a suspension may follow the check before sending
+        if (pending_orders[at])
+          engine.Load(pending_orders[at]->order, pending_orders[at]->fencing_token);
+        pending_orders[at].reset();
         break;
       case 4:
-        ++target;  // operators move on to newer weights
+        ++target;  // operators configure newer weights
         break;
       default:
         role.Release();
@@ -162,7 +164,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(engines_are_brought_to_the_configured_weights_one_by_one) {
+BOOST_AUTO_TEST_CASE(engines_are_reloaded_to_the_configured_weights_one_at_a_time) {
   const auto config = ValueOr(
       [] {
         return ApplyScript(Config(),
@@ -194,7 +196,7 @@
   BOOST_TEST(ordered.back() == "e1");
   backends[1].weights = WeightsVersion("w2");
   step();
-  BOOST_TEST(ordered.size() == 2U);  // model n is reloaded by hand
+  BOOST_TEST(ordered.size() == 2U);  // model n has no automatic reload
 }
 
 BOOST_AUTO_TEST_SUITE_END()
