--- a/libs/control/include/control/quarantine_writer.h
+++ b/libs/control/include/control/quarantine_writer.h
@@ -79,7 +79,7 @@
 
   net::awaitable<void> WriteDecided() {
     const TimePoint now = Clock::now();
-    const std::vector<PoisonDetector::Quarantine> decided = guard_.Decided(now);
+    const std::vector<PoisonDetector::Quarantine> decided = guard_.UnstoredQuarantines(now);
     std::erase_if(first_seen_, [&](const auto& entry) {
       return std::ranges::find(decided, entry.first, &PoisonDetector::Quarantine::request) ==
              decided.end();
--- a/libs/control/include/control/rollout_controller.h
+++ b/libs/control/include/control/rollout_controller.h
@@ -190,7 +190,7 @@
 
   /// Refreshes the number of requests that all instances have at the engine.
   net::awaitable<void> RefreshLoad(const RolloutStep& step) {
-    if (!state_.asks_first()) co_return;
+    if (!state_.queries_peers()) co_return;
     LoadQuestion question;
     question.backends.push_back(step.engine);
     question.model = step.model;
--- a/libs/control/src/rollout_pace.cc
+++ b/libs/control/src/rollout_pace.cc
@@ -58,7 +58,7 @@
   std::uint32_t available = 0;
   for (const BackendPtr& engine : engines) {
     if (engine->hold_until > now || engine->avoid_until > now) continue;
-    if (state_.asks_first() && now - engine->peers_updated_at > kMaxLoadAge) continue;
+    if (state_.queries_peers() && now - engine->peers_updated_at > kMaxLoadAge) continue;
     queued_tokens += engine->unprefilled_tokens + engine->peers.unread_tokens;
     ++available;
   }
--- a/libs/control/src/store_item_applier.cc
+++ b/libs/control/src/store_item_applier.cc
@@ -84,7 +84,7 @@
   if (!request || !until) return;
   const auto remaining =
       std::chrono::duration_cast<Duration>(*until - std::chrono::system_clock::now());
-  state_.poison().TakeStored(*request, remaining, Clock::now());
+  state_.poison().ApplyStored(*request, remaining, Clock::now());
 }
 
 void StoreItemApplier::RemoveInstanceKey(const std::string& key) {
--- a/libs/control/test/quarantine_writer-test.cc
+++ b/libs/control/test/quarantine_writer-test.cc
@@ -79,7 +79,7 @@
 BOOST_AUTO_TEST_CASE(another_instance_writes_for_a_dead_one) {
   first.store.faults.down = true;
   first.FailOn({"x", "y", "z"});
-  second.guard.Take(first.guard.TakeNews(), Clock::now());
+  second.guard.ApplyUpdate(first.guard.TakeUpdate(), Clock::now());
   io.run_for(200ms);
   BOOST_TEST(!Stored());
   io.run_for(300ms);
@@ -100,15 +100,15 @@
   first.FailOn({"x", "y", "z"});
   io.run_for(50ms);
   BOOST_REQUIRE(Stored());
-  second.guard.TakeStored(kRequest, 1min, Clock::now());
+  second.guard.ApplyStored(kRequest, 1min, Clock::now());
   second.guard.Release(kRequest, Clock::now());
-  first.guard.Take(second.guard.TakeNews(), Clock::now());
+  first.guard.ApplyUpdate(second.guard.TakeUpdate(), Clock::now());
   io.run_for(50ms);
   BOOST_TEST(!Stored());
 }
 
 BOOST_AUTO_TEST_CASE(quarantine_read_from_the_store_is_not_written_again) {
-  first.guard.TakeStored(kRequest, 1min, Clock::now());
+  first.guard.ApplyStored(kRequest, 1min, Clock::now());
   io.run_for(400ms);
   BOOST_TEST(!Stored());
 }
--- a/libs/control/test/rollout_controller-test.cc
+++ b/libs/control/test/rollout_controller-test.cc
@@ -268,7 +268,7 @@
   io.run_for(50ms);
   BOOST_TEST(engines.ordered_at.empty());
   BOOST_TEST((Engine("e0").hold_until > Clock::now()));
-  BOOST_TEST(!state.news().holds.empty());
+  BOOST_TEST(!state.pending_updates().holds.empty());
   Engine("e0").peers.unrepeatable = 0;
   io.run_for(200ms);
   BOOST_TEST(AllHave(2));
--- a/libs/entry/include/entry/entry_instance.h
+++ b/libs/entry/include/entry/entry_instance.h
@@ -151,7 +151,7 @@
             [this](const std::set<std::string>& excluded) { return FindRelay(excluded); }),
         timer_(executor) {
     state_.SetCrashConfirmer(
-        [this](BackendPtr backend) { return prober_.Confirm(std::move(backend)); });
+        [this](BackendPtr backend) { return prober_.ConfirmCrash(std::move(backend)); });
   }
 
   using Store = typename Env::Store;
@@ -355,7 +355,7 @@
     Metrics& metrics = state_.metrics();
     metrics.SetGauge("ridgehold_in_flight", "", state_.in_flight());
     metrics.SetGauge("ridgehold_quarantined_requests", "",
-                     static_cast<double>(state_.poison().Quarantined(now).size()));
+                     static_cast<double>(state_.poison().Quarantines(now).size()));
     metrics.SetGauge("ridgehold_suspected_requests", "",
                      static_cast<double>(state_.poison().suspects()));
     metrics.SetGauge("ridgehold_holds_rollout", "", rollout_lease_.IsHeld(now) ? 1 : 0);
@@ -427,10 +427,10 @@
     co_await WaitFor(timer, std::chrono::duration_cast<std::chrono::milliseconds>(
                                 started + tuning_.lame_duck - Clock::now()));
     server_.Stop();
-    state_.RefuseNewRequests();
+    state_.RejectNewRequests();
     while (Clock::now() < deadline) {
       server_.CloseIdle();
-      if (Clock::now() >= state_.last_answers()) server_.AnswerWaiting();
+      if (Clock::now() >= state_.response_deadline()) server_.FailPending();
       const bool drained = state_.in_flight() == 0 && server_.open_connections() == 0;
       if (drained && rollout_lease_released_) break;
       co_await WaitFor(timer, tuning_.housekeeping_interval / 5);
--- a/libs/entry/include/entry/quota_coordinator.h
+++ b/libs/entry/include/entry/quota_coordinator.h
@@ -51,16 +51,16 @@
     peers_ = &peers;
     peers.SetQuotaListener(
         [this](const QuotaMessage& message, const std::string& from) { Handle(message, from); });
-    GatewayState::QuotaHandlers asker;
-    asker.acquire = [this](QuotaDemand demand) {
+    GatewayState::QuotaHandlers handlers;
+    handlers.acquire = [this](QuotaDemand demand) {
       QuotaLink& link = LinkForSubject(demand.subject);
       return link.Acquire(std::move(demand));
     };
-    asker.give_back = [this](const QuotaTicket& ticket) {
+    handlers.refund = [this](const QuotaTicket& ticket) {
       LinkForRequest(ticket.id).Refund(ticket);
     };
-    state_.SetQuotaHandlers(std::move(asker));
-    state_.words().SetLimitListener([this] { start_timer_.cancel(); });
+    state_.SetQuotaHandlers(std::move(handlers));
+    state_.pushback().SetLimitListener([this] { start_timer_.cancel(); });
     net::co_spawn(state_.executor(), RunLease(), net::detached);
     net::co_spawn(state_.executor(), workspaces_.Run(), net::detached);
     net::co_spawn(state_.executor(), backends_.Run(), net::detached);
@@ -70,7 +70,7 @@
   net::awaitable<void> Release() { return lease_.Release(); }
   void Stop() {
     stopped_ = true;
-    state_.words().SetLimitListener({});
+    state_.pushback().SetLimitListener({});
     start_timer_.cancel();
     workspaces_.Stop();
     backends_.Stop();
@@ -105,7 +105,7 @@
 
   bool HasQuotasOrLimits() const {
     const bool quotas = state_.snapshot() && state_.snapshot()->has_quotas();
-    return quotas || state_.words().HasRecentLimit(Clock::now());
+    return quotas || state_.pushback().HasRecentLimit(Clock::now());
   }
 
   static bool IsBackendSubject(const QuotaSubject& subject) {
@@ -191,7 +191,7 @@
       return FindBackendHolder(subject);
     };
     callbacks.find_lenders = [] { return std::vector<std::string>(); };
-    callbacks.take_changed_limits = [this] { return state_.words().TakeNewTerms(); };
+    callbacks.take_changed_limits = [this] { return state_.pushback().TakeNewTerms(); };
     return callbacks;
   }
 
--- a/libs/entry/src/state_dump.cc
+++ b/libs/entry/src/state_dump.cc
@@ -86,8 +86,8 @@
     const PushbackState& word = backend->notice_state;
     const auto notice = NoticeRecordOf(*backend, now);
     if (!notice) continue;
-    const auto barred =
-        std::max(Duration::zero(), std::chrono::duration_cast<Duration>(word.barred_until() - now));
+    const auto barred = std::max(Duration::zero(),
+                                 std::chrono::duration_cast<Duration>(word.blocked_until() - now));
     notices.push_back({{"backend", id.value()},
                        {"number", word.number()},
                        {"limit", notice->limit ? json(notice->limit->per_second()) : json()},
@@ -114,7 +114,7 @@
 
 std::string DumpQuarantine(const PoisonGuard& guard, TimePoint now) {
   json quarantined = json::array();
-  for (const auto& [request, until] : guard.Quarantined(now)) {
+  for (const auto& [request, until] : guard.Quarantines(now)) {
     const auto remaining = std::chrono::duration_cast<std::chrono::seconds>(until - now);
     quarantined.push_back({{"fingerprint", ToText(request)}, {"left_s", remaining.count()}});
   }
--- a/libs/entry/src/tuning_options.cc
+++ b/libs/entry/src/tuning_options.cc
@@ -95,7 +95,7 @@
               "The same for requests that already miss their objective");
   Add("admission.longest-wait", tuning.admission.max_wait_objectives,
       "Maximum queueing time of a request, in latency objectives");
-  Add("poison.most-ends", tuning.poison.most_ends,
+  Add("poison.most-ends", tuning.poison.max_crashes,
       "Backend servers that crash while running a request before it is quarantined; 0: never");
   AddFraction("quota.tolerance-part", tuning.quota_tolerance_fraction,
               "Fraction of the platform's tolerance above a quota that is granted");
--- a/libs/gateway/include/gateway/admission.h
+++ b/libs/gateway/include/gateway/admission.h
@@ -26,11 +26,11 @@
 
 /// Input of an admission decision; times are estimates.
 struct AdmissionQuery {
-  Duration ahead{0};      ///< until the engine has prefilled earlier requests
-  Duration own{0};        ///< to fetch and prefill the request's own prompt
-  Duration room{0};       ///< the shortest latency objective of the service's routes
-  Duration objective{0};  ///< of the request's route
-  Duration age{0};        ///< since the request arrived
+  Duration queued_work{0};  ///< until the engine has prefilled earlier requests
+  Duration own_work{0};     ///< to fetch and prefill the request's own prompt
+  Duration capacity{0};     ///< the shortest latency objective of the service's routes
+  Duration objective{0};    ///< of the request's route
+  Duration age{0};          ///< since the request arrived
 };
 
 /// An engine cannot reorder a request that it has accepted. It is therefore given no more work than
@@ -41,7 +41,7 @@
 /// than half. Stateless.
 class Admission {
  public:
-  explicit Admission(AdmissionOptions rule) : rule_(rule) {}
+  explicit Admission(AdmissionOptions options) : options_(options) {}
 
   bool MaySend(const AdmissionQuery& query) const;
 
@@ -49,10 +49,10 @@
   bool WaitExpired(const AdmissionQuery& query) const;
 
   /// Whether the request can still meet its objective if it is sent now.
-  static bool InTime(const AdmissionQuery& query);
+  static bool MeetsObjective(const AdmissionQuery& query);
 
  private:
-  AdmissionOptions rule_;
+  AdmissionOptions options_;
 };
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/attempt_messages.h
+++ b/libs/gateway/include/gateway/attempt_messages.h
@@ -36,7 +36,7 @@
   bool event_stream = false;
   RequestId request;  ///< empty if the response does not identify one
   std::optional<WeightsNumber> weights;
-  BackendPushback notice;
+  BackendPushback pushback;
 };
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/attempt_policy.h
+++ b/libs/gateway/include/gateway/attempt_policy.h
@@ -12,19 +12,19 @@
 
 /// How an attempt ended.
 enum class AttemptOutcome : std::uint8_t {
-  kStreamed,    ///< the complete stream was forwarded
-  kAnswered,    ///< a complete response was received
-  kNotSent,     ///< no byte of the request was sent
-  kBroken,      ///< the connection broke, or the response is invalid
-  kTimedOut,    ///< no response before the deadline
-  kCallerGone,  ///< cancelled because the client disconnected
-  kSkipped,     ///< not sent: the backend server became ineligible
-  kWithdrawn,   ///< cancelled by the gateway before the first event
+  kStreamed,     ///< the complete stream was forwarded
+  kAnswered,     ///< a complete response was received
+  kNotSent,      ///< no byte of the request was sent
+  kInterrupted,  ///< the connection broke, or the response is invalid
+  kTimedOut,     ///< no response before the deadline
+  kCallerGone,   ///< cancelled because the client disconnected
+  kSkipped,      ///< not sent: the backend server became ineligible
+  kCancelled,    ///< cancelled by the gateway before the first event
 };
 
 /// Input of a retry decision.
 struct RetryDecisionInput {
-  AttemptOutcome end = AttemptOutcome::kBroken;
+  AttemptOutcome outcome = AttemptOutcome::kInterrupted;
   int status = 0;             ///< only for kAnswered
   bool not_executed = false;  ///< the backend server states that it did not execute the request
   bool has_signature = false;
@@ -42,7 +42,7 @@
   kDone,         ///< no further action
   kDeliver,      ///< forward the backend server's response
   kRetry,        ///< retry on another backend server if the retry budget allows
-  kRefuse,       ///< report that the request was not executed
+  kReject,       ///< report that the request was not executed
   kFail,         ///< report that the request may have been executed
   kAbortStream,  ///< abort the stream so that the client sees it as truncated
 };
--- a/libs/gateway/include/gateway/backend_permit.h
+++ b/libs/gateway/include/gateway/backend_permit.h
@@ -42,7 +42,7 @@
 /// Converts a quota outcome into a verdict for one request. Without a permit, the backend server is
 /// blocked at this gateway until a permit may be available.
 PermitVerdict ResolvePermit(Backend& backend, const QuotaOutcome& outcome,
-                            const PermitRequester& asker, TimePoint now);
+                            const PermitRequester& requester, TimePoint now);
 
 /// Acquires a permit from the quota holder of the backend server, if it has a limit.
 net::awaitable<Permit> AcquirePermit(GatewayState& state, BackendPtr backend);
--- a/libs/gateway/include/gateway/backend_prober.h
+++ b/libs/gateway/include/gateway/backend_prober.h
@@ -33,7 +33,7 @@
     double suspect_after_objectives = 1.25;
     /// Maximum time an interrupted request waits for the probe before it is retried: the host of a
     /// terminated process refuses connections within one round trip, 6 ms between zones.
-    std::chrono::milliseconds confirm_limit{20};
+    std::chrono::milliseconds confirm_timeout{20};
     /// Delay before a retry after a crash, to receive crash reports from peers: concurrent copies
     /// of the request may have crashed other servers, which is reported within 1 ms plus a one-way
     /// latency of 3 ms. Three concurrent copies crashed six servers without this delay and three
@@ -52,7 +52,7 @@
   /// recently, and waits for the result. A refused connection shows that the process has
   /// terminated, 20 to 85 ms earlier than the next scan; until then, the attempt and further copies
   /// of the request would be retried without this information.
-  net::awaitable<void> Confirm(BackendPtr backend);
+  net::awaitable<void> ConfirmCrash(BackendPtr backend);
 
  private:
   void StartProbe(const BackendPtr& backend);
@@ -62,7 +62,7 @@
   net::awaitable<void> Probe(BackendPtr backend);
   /// Whether no connection to it is open. A server with a full accept queue also refuses
   /// connections.
-  bool NothingOpen(const Backend& backend);
+  bool HasNoOpenConnection(const Backend& backend);
 
   GatewayState& state_;
   Options options_;
--- a/libs/gateway/include/gateway/backend_pushback.h
+++ b/libs/gateway/include/gateway/backend_pushback.h
@@ -14,10 +14,10 @@
 struct BackendPushback {
   /// Request rate that it accepts from all instances together; empty: no limit.
   std::optional<RequestRate> limit;
-  bool limit_unreadable = false;  ///< a limit is present but cannot be parsed
-  bool leaving = false;           ///< it shuts down soon and must get no new requests
+  bool limit_malformed = false;  ///< a limit is present but cannot be parsed
+  bool leaving = false;          ///< it shuts down soon and must get no new requests
   /// It rejected the request and asks this instance to back off for this long.
-  std::optional<std::chrono::milliseconds> rest;
+  std::optional<std::chrono::milliseconds> backoff;
 
   bool operator==(const BackendPushback&) const = default;
 };
--- a/libs/gateway/include/gateway/caller_server.h
+++ b/libs/gateway/include/gateway/caller_server.h
@@ -22,10 +22,10 @@
 template <WireFormat Wire>
 class CallerServer {
  public:
-  /// Connections beyond `most_connections` are closed immediately, which reserves file descriptors
+  /// Connections beyond `max_connections` are closed immediately, which reserves file descriptors
   /// for backend servers.
-  CallerServer(GatewayState& state, tcp::acceptor acceptor, std::size_t most_connections)
-      : state_(state), acceptor_(std::move(acceptor)), most_connections_(most_connections) {}
+  CallerServer(GatewayState& state, tcp::acceptor acceptor, std::size_t max_connections)
+      : state_(state), acceptor_(std::move(acceptor)), max_connections_(max_connections) {}
 
   void Start() { net::co_spawn(state_.executor(), Accept(), net::detached); }
 
@@ -42,7 +42,7 @@
   }
 
   /// Fails requests without a response; call when the state's response deadline has passed.
-  void AnswerWaiting() {
+  void FailPending() {
     for (const auto& [connection, exchange] : connections_) {
       if (exchange) exchange->FailIfPending();
     }
@@ -65,7 +65,7 @@
         Log(LogLevel::kWarn, "accepting client connection failed", {{"detail", error.message()}});
         continue;
       }
-      if (connections_.size() >= most_connections_) {
+      if (connections_.size() >= max_connections_) {
         state_.metrics().GetCounter("ridgehold_connections_refused").Add();
         continue;
       }
@@ -105,7 +105,7 @@
 
   GatewayState& state_;
   tcp::acceptor acceptor_;
-  std::size_t most_connections_;
+  std::size_t max_connections_;
   std::map<ConnectionPtr, ExchangePtr> connections_;  ///< with the exchange in progress, if any
 };
 
--- a/libs/gateway/include/gateway/cancellable_attempts.h
+++ b/libs/gateway/include/gateway/cancellable_attempts.h
@@ -18,7 +18,7 @@
 class CancellableAttempts {
  public:
   /// Cancels the attempt. The callback may destroy its own ticket and others.
-  using Withdraw = std::function<void()>;
+  using CancelCallback = std::function<void()>;
 
   /// Keeps an attempt registered while it lives.
   class Ticket {
@@ -36,9 +36,9 @@
   };
 
   /// Registers an attempt and sets `ticket`.
-  void Add(std::optional<Ticket>& ticket, Facts facts, Withdraw withdraw) {
+  void Add(std::optional<Ticket>& ticket, Facts facts, CancelCallback cancel) {
     const std::uint64_t number = ++last_number_;
-    entries_[number] = {std::move(facts), std::move(withdraw)};
+    entries_[number] = {std::move(facts), std::move(cancel)};
     ticket.emplace(*this, number);
   }
 
@@ -52,7 +52,7 @@
     }
     for (const std::uint64_t number : matching) {
       auto entry = entries_.extract(number);
-      if (!entry.empty()) entry.mapped().withdraw();
+      if (!entry.empty()) entry.mapped().cancel();
     }
   }
 
@@ -61,7 +61,7 @@
  private:
   struct Entry {
     Facts facts;
-    Withdraw withdraw;
+    CancelCallback cancel;
   };
 
   std::map<std::uint64_t, Entry> entries_;
--- a/libs/gateway/include/gateway/deferred_requests.h
+++ b/libs/gateway/include/gateway/deferred_requests.h
@@ -18,25 +18,25 @@
  public:
   /// Number of requests at the head of the queue that poll for capacity concurrently. The others
   /// wait, since later requests could overtake earlier ones otherwise.
-  static constexpr std::size_t kLooking = 4;
+  static constexpr std::size_t kMaxPolling = 4;
   /// Polling interval; an engine takes 50 ms to prefill one chunk of a prompt.
-  static constexpr std::chrono::milliseconds kLook{15};
+  static constexpr std::chrono::milliseconds kPollInterval{15};
   /// Polling interval where each poll sends queries to other gateways.
-  static constexpr std::chrono::milliseconds kAskingLook{50};
+  static constexpr std::chrono::milliseconds kPeerPollInterval{50};
 
   /// Sort key; smaller is served first.
-  struct Place {
+  struct Position {
     bool late = false;
     int priority = 0;
     std::uint64_t number = 0;
 
-    auto operator<=>(const Place&) const = default;
+    auto operator<=>(const Position&) const = default;
   };
 
   /// Holds a position in the queue while it lives.
   class Ticket {
    public:
-    Ticket(DeferredRequests& line, int priority);
+    Ticket(DeferredRequests& queue, int priority);
     ~Ticket();
 
     Ticket(const Ticket&) = delete;
@@ -45,18 +45,18 @@
     /// Moves the request behind those that can still meet their objective.
     void MarkLate();
 
-    /// Whether the request is among the first kLooking.
-    bool MayLook() const;
+    /// Whether the request is among the first kMaxPolling.
+    bool MayPoll() const;
 
    private:
-    DeferredRequests& line_;
-    Place place_;
+    DeferredRequests& queue_;
+    Position position_;
   };
 
-  std::size_t size() const { return places_.size(); }
+  std::size_t size() const { return positions_.size(); }
 
  private:
-  std::set<Place> places_;
+  std::set<Position> positions_;
   std::uint64_t last_number_ = 0;
 };
 
--- a/libs/gateway/include/gateway/event_relay.h
+++ b/libs/gateway/include/gateway/event_relay.h
@@ -22,7 +22,7 @@
 
   /// Parses bytes of the attempt's response and returns the complete events that are new to the
   /// client, unmodified.
-  std::string Take(std::string_view bytes);
+  std::string Feed(std::string_view bytes);
 
   /// Number of the last forwarded event, after which a resumed attempt continues.
   std::optional<std::uint64_t> last_event() const { return last_event_; }
@@ -31,7 +31,7 @@
   bool incomplete() const { return reader_.has_partial_event() || reader_.failed(); }
 
   /// Whether any event has been forwarded.
-  bool any_forwarded() const { return passed_any_; }
+  bool any_forwarded() const { return any_forwarded_; }
 
  private:
   /// Returns whether the client already has the event; otherwise records its number.
@@ -39,7 +39,7 @@
 
   SseReader reader_;
   std::optional<std::uint64_t> last_event_;
-  bool passed_any_ = false;
+  bool any_forwarded_ = false;
 };
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/exchange.h
+++ b/libs/gateway/include/gateway/exchange.h
@@ -38,7 +38,7 @@
   net::awaitable<void> Run() {
     auto self = this->shared_from_this();
     state_.OnRequestStarted();
-    co_await Answer();
+    co_await Respond();
     state_.OnRequestFinished();
     LogRequest(state_, record_);
   }
@@ -46,7 +46,7 @@
   /// Fails a request without a response once the response deadline has passed. A response in
   /// progress continues.
   void FailIfPending() {
-    if (!begun_ && attempt_.connection) attempt_.connection->Cancel();
+    if (!response_started_ && attempt_.connection) attempt_.connection->Cancel();
   }
 
  private:
@@ -60,7 +60,7 @@
     ResponseHead caller_head;
     std::string body;
     bool prefilled = false;
-    std::optional<ResultCode> withdrawn;  ///< reason, if it was cancelled by this gateway
+    std::optional<ResultCode> cancel_reason;  ///< reason, if it was cancelled by this gateway
   };
 
   Exchange(GatewayState& state, std::shared_ptr<CallerConnection> caller)
@@ -71,14 +71,14 @@
                         [this] { return caller_->caller_gone() || Quarantined(); },
                         [this] { return WaitLimit(); }}) {}
 
-  net::awaitable<void> Answer() {
+  net::awaitable<void> Respond() {
     std::optional<Failure> failure = Decode();
     if (!failure) failure = Plan();
     if (failure) {
       co_await Refuse(std::move(*failure), kDefaultRetryAfter);
       co_return;
     }
-    state_.retries().Earn(plan_.service, Clock::now());
+    state_.retries().RecordRequest(plan_.service, Clock::now());
     caller_->WatchCaller([self = this->shared_from_this()] { self->OnCallerGone(); });
     if (plan_.quota) {
       const std::optional<ResultCode> refusal = co_await AcquireQuota();
@@ -89,7 +89,7 @@
       }
     }
     co_await Send();
-    const bool unused = record_.quota && !facts_.may_have_run;
+    const bool unused = record_.quota && !retry_input_.may_have_run;
     if (unused) state_.RefundQuota(record_.quota->ticket);
   }
 
@@ -144,33 +144,33 @@
     plan_.fingerprint = FingerprintOf(record_.workspace, inbound_, caller_->request());
     record_.fingerprint = plan_.fingerprint;
     relay_ = EventRelay{inbound_.resume_after};
-    facts_.may_repeat = plan_.route->MayRepeat();
-    facts_.max_runs = plan_.route->max_attempts;
+    retry_input_.may_repeat = plan_.route->MayRepeat();
+    retry_input_.max_runs = plan_.route->max_attempts;
     return std::nullopt;
   }
 
   /// Makes one attempt and decides the next step.
   net::awaitable<NextStep> TryOnce() {
-    if (Quarantined()) co_return StepOfQuarantined();
-    const std::optional<BackendChoice> choice = co_await search_.Find(begun_);
+    if (Quarantined()) co_return StepWhenQuarantined();
+    const std::optional<BackendChoice> choice = co_await search_.Find(response_started_);
     if (caller_->caller_gone()) co_return NextStep::kDone;
-    if (Quarantined()) co_return StepOfQuarantined();
+    if (Quarantined()) co_return StepWhenQuarantined();
     // Without another backend server, the last attempt determines the result.
     if (!choice) co_return StepWithoutChoice();
     attempt_ = Attempt{};
     attempt_.backend = choice->backend;
     attempt_.expected_weights = choice->weights;
-    ++facts_.sends;
-    NoteChoice(*choice);
+    ++retry_input_.sends;
+    RecordChoice(*choice);
     ++record_.attempts;
-    const bool last_run = facts_.runs + 1 >= facts_.max_runs;
+    const bool last_run = retry_input_.runs + 1 >= retry_input_.max_runs;
     load_.emplace(state_, plan_, inbound_, *choice, last_run);
-    const AttemptOutcome end = co_await RunAttempt(*choice);
+    const AttemptOutcome outcome = co_await RunAttempt(*choice);
     load_.reset();
-    const bool unused = end == AttemptOutcome::kNotSent || end == AttemptOutcome::kSkipped;
+    const bool unused = outcome == AttemptOutcome::kNotSent || outcome == AttemptOutcome::kSkipped;
     if (unused && record_.permit.ticket) state_.RefundQuota(*record_.permit.ticket);
-    if (end == AttemptOutcome::kBroken) co_await RecordInterruption();
-    co_return Judge(end);
+    if (outcome == AttemptOutcome::kInterrupted) co_await RecordInterruption();
+    co_return DecideNextStep(outcome);
   }
 
   /// Whether this request is quarantined, which may happen at any time because of copies at other
@@ -179,9 +179,9 @@
     return state_.poison().SuspicionOf(plan_.fingerprint, Clock::now()) == Suspicion::kQuarantined;
   }
 
-  NextStep StepOfQuarantined() {
+  NextStep StepWhenQuarantined() {
     last_code_ = ResultCode::kPoisonRequest;
-    return facts_.stream_begun ? NextStep::kAbortStream : NextStep::kFail;
+    return retry_input_.stream_begun ? NextStep::kAbortStream : NextStep::kFail;
   }
 
   /// Before a retry, determines whether the backend server crashed while running the request, and
@@ -193,12 +193,12 @@
 
   /// Next step when no backend server can take the request.
   NextStep StepWithoutChoice() {
-    const bool nothing_known = last_code_ == ResultCode::kNoBackend;
-    if (nothing_known && search_.NextCapacity()) last_code_ = ResultCode::kBackendsAtLimit;
-    return StepWithoutRetry(facts_);
+    const bool no_cause_known = last_code_ == ResultCode::kNoBackend;
+    if (no_cause_known && search_.NextCapacity()) last_code_ = ResultCode::kBackendsAtLimit;
+    return StepWithoutRetry(retry_input_);
   }
 
-  void NoteChoice(const BackendChoice& choice) {
+  void RecordChoice(const BackendChoice& choice) {
     const Backend& backend = *choice.backend;
     record_.backend = backend.entry.id;
     record_.expected_ms = choice.expected_ms;
@@ -219,16 +219,16 @@
   net::awaitable<AttemptOutcome> RunAttempt(const BackendChoice& choice) {
     const std::string address = attempt_.backend->entry.address;
     Checkout checkout = co_await state_.pool().Acquire(address, WaitLimit());
-    if (checkout.fault != ExchangeFault::kNone) co_return EndOf(checkout.fault);
+    if (checkout.fault != ExchangeFault::kNone) co_return OutcomeOf(checkout.fault);
     // Connecting takes time, during which the client may have disconnected or the backend server
     // become ineligible.
     const bool caller_gone = caller_->PollCallerGone();
     const TimePoint now = Clock::now();
     const bool too_late = now >= WaitLimit();
-    const bool permitted = !attempt_.backend->notice_state.limit() ||
-                           record_.permit.verdict != PermitVerdict::kNotNeeded;
+    const bool has_permit = !attempt_.backend->notice_state.limit() ||
+                            record_.permit.verdict != PermitVerdict::kNotNeeded;
     const bool may_send =
-        !Quarantined() && permitted && MayStillSend(state_, inbound_, choice, now);
+        !Quarantined() && has_permit && MayStillSend(state_, inbound_, choice, now);
     if (caller_gone || too_late || !may_send) {
       state_.pool().Release(address, std::move(checkout.connection));
       if (caller_gone) co_return AttemptOutcome::kCallerGone;
@@ -238,29 +238,29 @@
     attempt_.connection = std::move(checkout.connection);
     AttemptDirectives directives = DirectivesFor(state_, plan_, choice, now);
     directives.resume_after = relay_.last_event();
-    WatchBegin();
+    WatchStart();
     attempt_.sent = now;
     attempt_.connection->StartRequest(Wire::MakeAttempt(caller_->request(), directives));
-    AttemptOutcome end = co_await ReadAnswer();
-    waiting_.reset();
-    unanswered_.reset();
-    running_.reset();
+    AttemptOutcome outcome = co_await ReadResponse();
+    queued_ticket_.reset();
+    unanswered_ticket_.reset();
+    poison_ticket_.reset();
     state_.pool().Release(address, std::move(attempt_.connection));
-    co_return end;
+    co_return outcome;
   }
 
   /// The limit on older weights applies when an engine starts a request, so an attempt still queued
   /// there at the limit is cancelled.
-  void WatchBegin() {
+  void WatchStart() {
     WatchQuarantine();
-    if (facts_.may_repeat && facts_.runs + 1 < facts_.max_runs) {
-      state_.unanswered_attempts().Add(unanswered_, attempt_.backend->entry.id,
-                                       [this] { Withdraw(ResultCode::kBackendUnreachable); });
+    if (retry_input_.may_repeat && retry_input_.runs + 1 < retry_input_.max_runs) {
+      state_.unanswered_attempts().Add(unanswered_ticket_, attempt_.backend->entry.id,
+                                       [this] { CancelAttempt(ResultCode::kBackendUnreachable); });
     }
     if (!inbound_.generation || !attempt_.expected_weights) return;
-    const RequiredWeights asked{inbound_.generation->model, *attempt_.expected_weights};
-    state_.queued_attempts().Add(waiting_, asked,
-                                 [this] { Withdraw(ResultCode::kWeightsPastLimit); });
+    const RequiredWeights required{inbound_.generation->model, *attempt_.expected_weights};
+    state_.queued_attempts().Add(queued_ticket_, required,
+                                 [this] { CancelAttempt(ResultCode::kWeightsPastLimit); });
   }
 
   /// Cancels an attempt that has not started when its request is quarantined. An attempt that
@@ -268,95 +268,96 @@
   /// may not be executed again.
   void WatchQuarantine() {
     if (plan_.route->kind == RouteKind::kUnsafe) return;
-    state_.poison().Watch(running_, plan_.fingerprint, [this] {
-      if (!attempt_.prefilled) Withdraw(ResultCode::kPoisonRequest);
+    state_.poison().Watch(poison_ticket_, plan_.fingerprint, [this] {
+      if (!attempt_.prefilled) CancelAttempt(ResultCode::kPoisonRequest);
     });
   }
 
-  void Withdraw(ResultCode reason) {
-    attempt_.withdrawn = reason;
+  void CancelAttempt(ResultCode reason) {
+    attempt_.cancel_reason = reason;
     attempt_.connection->Cancel();
   }
 
   /// Reads response heads until one belongs to this request; responses to other requests are
   /// skipped.
-  net::awaitable<AttemptOutcome> ReadAnswer() {
+  net::awaitable<AttemptOutcome> ReadResponse() {
     relay_.StartAttempt();
     for (int foreign = 0; foreign <= OutboundConnection::kMaxStaleResponses; ++foreign) {
-      const TimePoint limit = HeadDeadline(state_, plan_, facts_, Clock::now());
+      const TimePoint limit = HeadDeadline(state_, plan_, retry_input_, Clock::now());
       ExchangeFault fault = co_await attempt_.connection->ReadHead(limit);
-      if (fault != ExchangeFault::kNone) co_return EndOf(fault);
+      if (fault != ExchangeFault::kNone) co_return OutcomeOf(fault);
       attempt_.head = Wire::ReadAnswerHead(attempt_.connection->head());
-      if (attempt_.head.request == inbound_.id) co_return co_await ReadOwnAnswer();
+      if (attempt_.head.request == inbound_.id) co_return co_await ReadOwnResponse();
       if (!IsStaleAnswer(attempt_.head)) break;
       std::string skipped;
       fault = co_await attempt_.connection->ReadWholeBody(
           skipped, state_.limits().max_response_bytes, plan_.answer_by);
-      if (fault != ExchangeFault::kNone) co_return EndOf(fault);
+      if (fault != ExchangeFault::kNone) co_return OutcomeOf(fault);
     }
     last_code_ = ResultCode::kForeignAnswer;
     attempt_.connection->Cancel();
-    co_return AttemptOutcome::kBroken;
+    co_return AttemptOutcome::kInterrupted;
   }
 
-  net::awaitable<AttemptOutcome> ReadOwnAnswer() {
+  net::awaitable<AttemptOutcome> ReadOwnResponse() {
     ApplyAnswerHead(state_, *attempt_.backend, inbound_, attempt_.head, attempt_.sent);
     attempt_.caller_head = Wire::MakeCallerHead(attempt_.connection->head());
     if (!IsAcceptable(attempt_.head)) {
       last_code_ = ResultCode::kForeignAnswer;
       attempt_.connection->Cancel();
-      co_return AttemptOutcome::kBroken;
+      co_return AttemptOutcome::kInterrupted;
     }
     if (!attempt_.head.event_stream) {
-      waiting_.reset();
-      unanswered_.reset();
+      queued_ticket_.reset();
+      unanswered_ticket_.reset();
     }
     const bool streams = plan_.route->kind == RouteKind::kStream && attempt_.head.event_stream &&
                          IsSuccess(attempt_.head.status);
     if (streams) co_return co_await RelayStream();
     const ExchangeFault fault = co_await attempt_.connection->ReadWholeBody(
         attempt_.body, state_.limits().max_response_bytes, plan_.answer_by);
-    co_return fault == ExchangeFault::kNone ? AttemptOutcome::kAnswered : EndOf(fault);
+    co_return fault == ExchangeFault::kNone ? AttemptOutcome::kAnswered : OutcomeOf(fault);
   }
 
   net::awaitable<AttemptOutcome> RelayStream() {
     std::string bytes;
     while (!attempt_.connection->BodyDone()) {
       bytes.clear();
-      const TimePoint limit = EventDeadline(plan_, facts_, relay_.any_forwarded(), Clock::now());
+      const TimePoint limit =
+          EventDeadline(plan_, retry_input_, relay_.any_forwarded(), Clock::now());
       const ExchangeFault fault = co_await attempt_.connection->ReadBody(bytes, limit);
-      const std::string events = relay_.Take(bytes);
+      const std::string events = relay_.Feed(bytes);
       if (!events.empty()) {
-        const bool passed = co_await PassOn(events);
-        if (!passed) co_return AttemptOutcome::kCallerGone;
+        const bool forwarded = co_await Forward(events);
+        if (!forwarded) co_return AttemptOutcome::kCallerGone;
       }
-      if (fault != ExchangeFault::kNone) co_return EndOf(fault);
+      if (fault != ExchangeFault::kNone) co_return OutcomeOf(fault);
     }
-    if (relay_.incomplete()) co_return AttemptOutcome::kBroken;
-    const bool begun = co_await BeginAnswer();
-    if (!begun) co_return AttemptOutcome::kCallerGone;
+    if (relay_.incomplete()) co_return AttemptOutcome::kInterrupted;
+    const bool started = co_await BeginResponse();
+    if (!started) co_return AttemptOutcome::kCallerGone;
     co_await caller_->EndStream();
     co_return AttemptOutcome::kStreamed;
   }
 
-  net::awaitable<bool> PassOn(std::string events) {
-    NotePrefilled();
-    const bool begun = co_await BeginAnswer();
-    if (!begun) co_return false;
+  net::awaitable<bool> Forward(std::string events) {
+    OnPrefilled();
+    const bool started = co_await BeginResponse();
+    if (!started) co_return false;
     co_return co_await caller_->WriteChunk(std::move(events));
   }
 
   /// Sends the response head once; a resumed stream keeps the first one.
-  net::awaitable<bool> BeginAnswer() {
-    if (std::exchange(begun_, true)) co_return true;
-    facts_.stream_begun = true;
+  net::awaitable<bool> BeginResponse() {
+    if (std::exchange(response_started_, true)) co_return true;
+    retry_input_.stream_begun = true;
     record_.status = attempt_.head.status;
     record_.first_event = Clock::now();
     co_return co_await caller_->BeginStream(attempt_.caller_head, state_.shutting_down());
   }
 
   /// Records that the engine has completed prefill, as shown by its first event.
-  void NotePrefilled() {
+  void OnPrefilled() {
     if (std::exchange(attempt_.prefilled, true)) return;
     load_->OnFirstEvent(Clock::now());
     RecordFirstEvent();
@@ -365,8 +366,8 @@
   /// The first event shows that the engine has started the request. Newer weights may have been
   /// announced while it was queued there.
   void RecordFirstEvent() {
-    waiting_.reset();
-    unanswered_.reset();
+    queued_ticket_.reset();
+    unanswered_ticket_.reset();
     const auto weights = attempt_.head.weights ? attempt_.head.weights : attempt_.expected_weights;
     const auto use = OlderWeightsAt(state_, inbound_, weights, Clock::now());
     if (!use) return;
@@ -379,10 +380,11 @@
 
   /// Deadline for the start of the response.
   TimePoint WaitLimit() const {
-    return begun_ ? plan_.answer_by : std::min(plan_.answer_by, state_.last_answers());
+    return response_started_ ? plan_.answer_by
+                             : std::min(plan_.answer_by, state_.response_deadline());
   }
 
-  AttemptOutcome EndOf(ExchangeFault fault) {
+  AttemptOutcome OutcomeOf(ExchangeFault fault) {
     switch (fault) {
       case ExchangeFault::kNotSent:
         last_code_ = ResultCode::kBackendUnreachable;
@@ -392,9 +394,9 @@
         return AttemptOutcome::kTimedOut;
       case ExchangeFault::kCancelled:
         if (caller_->caller_gone()) return AttemptOutcome::kCallerGone;
-        if (attempt_.withdrawn) {
-          last_code_ = *attempt_.withdrawn;
-          return AttemptOutcome::kWithdrawn;
+        if (attempt_.cancel_reason) {
+          last_code_ = *attempt_.cancel_reason;
+          return AttemptOutcome::kCancelled;
         }
         if (Clock::now() < WaitLimit()) break;
         last_code_ = ResultCode::kBackendTimeout;
@@ -404,47 +406,48 @@
         break;
     }
     last_code_ = ResultCode::kBackendBroken;
-    return AttemptOutcome::kBroken;
-  }
-
-  NextStep Judge(AttemptOutcome end) {
-    facts_.end = end;
-    facts_.status = end == AttemptOutcome::kAnswered ? attempt_.head.status : 0;
-    facts_.not_executed = end == AttemptOutcome::kAnswered && attempt_.head.not_executed;
-    facts_.has_signature = attempt_.head.has_signature;
-    if (end == AttemptOutcome::kAnswered) last_code_ = ResultCode::kBackendRefused;
-    if (!ProvesNotExecuted(facts_)) {
-      facts_.may_have_run = true;
-      ++facts_.runs;
+    return AttemptOutcome::kInterrupted;
+  }
+
+  NextStep DecideNextStep(AttemptOutcome outcome) {
+    retry_input_.outcome = outcome;
+    retry_input_.status = outcome == AttemptOutcome::kAnswered ? attempt_.head.status : 0;
+    retry_input_.not_executed = outcome == AttemptOutcome::kAnswered && attempt_.head.not_executed;
+    retry_input_.has_signature = attempt_.head.has_signature;
+    if (outcome == AttemptOutcome::kAnswered) last_code_ = ResultCode::kBackendRefused;
+    if (!ProvesNotExecuted(retry_input_)) {
+      retry_input_.may_have_run = true;
+      ++retry_input_.runs;
     }
     const TimePoint now = Clock::now();
-    facts_.time_left = WaitLimit() - now > state_.limits().min_attempt_time;
-    RecordOutcome(state_, inbound_, *attempt_.backend, facts_, now);
-    NoteForPoison(end, now);
+    retry_input_.time_left = WaitLimit() - now > state_.limits().min_attempt_time;
+    RecordOutcome(state_, inbound_, *attempt_.backend, retry_input_, now);
+    UpdatePoisonGuard(outcome, now);
     tried_.insert(attempt_.backend->entry.id);
-    NextStep step = caller_->caller_gone() ? NextStep::kDone : DecideNext(facts_);
-    if (step == NextStep::kRetry && Quarantined()) step = StepOfQuarantined();
-    const bool arrived = end != AttemptOutcome::kNotSent && end != AttemptOutcome::kSkipped;
-    if (step == NextStep::kRetry && arrived && !state_.retries().Spend(plan_.service, now)) {
+    NextStep step = caller_->caller_gone() ? NextStep::kDone : DecideNext(retry_input_);
+    if (step == NextStep::kRetry && Quarantined()) step = StepWhenQuarantined();
+    const bool arrived = outcome != AttemptOutcome::kNotSent && outcome != AttemptOutcome::kSkipped;
+    if (step == NextStep::kRetry && arrived && !state_.retries().TryConsume(plan_.service, now)) {
       record_.retry_budget_exhausted = true;
-      step = StepWithoutRetry(facts_);
+      step = StepWithoutRetry(retry_input_);
     }
     if (step != NextStep::kDone && step != NextStep::kDeliver) {
-      LogAttempt(state_, record_, *attempt_.backend, facts_, last_code_, step);
+      LogAttempt(state_, record_, *attempt_.backend, retry_input_, last_code_, step);
     }
     return step;
   }
 
   /// A complete response shows that the request did not crash the backend server. An unresponsive
   /// server may later be found to have crashed.
-  void NoteForPoison(AttemptOutcome end, TimePoint now) {
-    const bool unreachable = attempt_.withdrawn == ResultCode::kBackendUnreachable;
-    if (end == AttemptOutcome::kTimedOut || unreachable) {
+  void UpdatePoisonGuard(AttemptOutcome outcome, TimePoint now) {
+    const bool unreachable = attempt_.cancel_reason == ResultCode::kBackendUnreachable;
+    if (outcome == AttemptOutcome::kTimedOut || unreachable) {
       state_.poison().RecordInterruption(*attempt_.backend, plan_.fingerprint, now);
     }
-    const bool survived = end == AttemptOutcome::kStreamed ||
-                          (end == AttemptOutcome::kAnswered && !ProvesNotExecuted(facts_));
-    if (survived) state_.poison().RecordCompletion(plan_.fingerprint, now);
+    const bool completed =
+        outcome == AttemptOutcome::kStreamed ||
+        (outcome == AttemptOutcome::kAnswered && !ProvesNotExecuted(retry_input_));
+    if (completed) state_.poison().RecordCompletion(plan_.fingerprint, now);
   }
 
   net::awaitable<void> Finish(NextStep step) {
@@ -456,8 +459,8 @@
       case NextStep::kDeliver:
         co_await Deliver();
         break;
-      case NextStep::kRefuse:
-        co_await RefuseWith(NotRunCode(last_code_, facts_), search_.RetryAfter());
+      case NextStep::kReject:
+        co_await RefuseWith(NotRunCode(last_code_, retry_input_), search_.RetryAfter());
         break;
       case NextStep::kFail:
         co_await RefuseWith(MayHaveRunCode(last_code_), kDefaultRetryAfter);
@@ -473,9 +476,9 @@
   net::awaitable<void> Deliver() {
     record_.code = ResultCode::kOk;
     record_.status = attempt_.head.status;
-    ResponseMessage answer(std::move(attempt_.caller_head), std::move(attempt_.body));
-    if (caller_->request().method() != http::verb::head) answer.prepare_payload();
-    co_await caller_->Send(std::move(answer), state_.shutting_down());
+    ResponseMessage response(std::move(attempt_.caller_head), std::move(attempt_.body));
+    if (caller_->request().method() != http::verb::head) response.prepare_payload();
+    co_await caller_->Send(std::move(response), state_.shutting_down());
   }
 
   // g++ 12 destroys braced temporaries in co_await arguments twice, so arguments are plain or named
@@ -488,16 +491,16 @@
 
   net::awaitable<void> Refuse(Failure failure, std::chrono::milliseconds retry_after) {
     record_.code = failure.code;
-    ResponseMessage answer = MakeErrorResponse(failure, inbound_.id, retry_after);
-    record_.status = static_cast<int>(answer.result_int());
+    ResponseMessage response = MakeErrorResponse(failure, inbound_.id, retry_after);
+    record_.status = static_cast<int>(response.result_int());
     record_.detail = failure.detail;
-    co_await caller_->Send(std::move(answer), state_.shutting_down());
+    co_await caller_->Send(std::move(response), state_.shutting_down());
   }
 
   /// A call that may not be executed again is left to complete.
   void OnCallerGone() {
-    const bool worth_ending = plan_.route->kind != RouteKind::kUnsafe;
-    if (worth_ending && attempt_.connection) attempt_.connection->Cancel();
+    const bool may_cancel = plan_.route->kind != RouteKind::kUnsafe;
+    if (may_cancel && attempt_.connection) attempt_.connection->Cancel();
   }
 
   GatewayState& state_;
@@ -505,16 +508,16 @@
   InboundRequest inbound_;
   ExchangePlan plan_;
   EventRelay relay_;
-  RetryDecisionInput facts_;
+  RetryDecisionInput retry_input_;
   Attempt attempt_;
   std::optional<BackendLoad> load_;
-  std::optional<QueuedAttempts::Ticket> waiting_;
-  std::optional<UnansweredAttempts::Ticket> unanswered_;
-  std::optional<PoisonGuard::Ticket> running_;
+  std::optional<QueuedAttempts::Ticket> queued_ticket_;
+  std::optional<UnansweredAttempts::Ticket> unanswered_ticket_;
+  std::optional<PoisonGuard::Ticket> poison_ticket_;
   std::set<BackendId> tried_;
   ResultCode last_code_ = ResultCode::kNoBackend;
   RequestRecord record_;
-  bool begun_ = false;
+  bool response_started_ = false;
   BackendSearch search_;
 };
 
--- a/libs/gateway/include/gateway/fallback_slots.h
+++ b/libs/gateway/include/gateway/fallback_slots.h
@@ -16,23 +16,23 @@
 /// slots expire, so that no burst accumulates.
 class FallbackSlots {
  public:
-  static constexpr std::chrono::seconds kTurn{1};
+  static constexpr std::chrono::seconds kSlotLength{1};
   /// Fraction of the limit available to all gateways together. Peers in another partition may still
   /// be granted the whole limit.
-  static constexpr double kPart = 0.125;
+  static constexpr double kLimitFraction = 0.125;
 
-  struct Draw {
+  struct Candidate {
     BackendHash backend = 0;
     std::uint64_t gateway = 0;   ///< unique for each gateway
     std::uint32_t gateways = 1;  ///< number of gateways that share the limit
     RequestRate limit;
   };
 
-  static std::int64_t TurnAt(TimePoint now) { return now.time_since_epoch() / kTurn; }
+  static std::int64_t SlotAt(TimePoint now) { return now.time_since_epoch() / kSlotLength; }
   /// Start of the slot after the one at `now`.
-  static TimePoint NextTurn(TimePoint now) { return TimePoint(kTurn * (TurnAt(now) + 1)); }
+  static TimePoint NextSlot(TimePoint now) { return TimePoint(kSlotLength * (SlotAt(now) + 1)); }
 
-  static bool IsDrawn(const Draw& draw, std::int64_t turn);
+  static bool IsSelected(const Candidate& candidate, std::int64_t slot);
 };
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/gateway_state.h
+++ b/libs/gateway/include/gateway/gateway_state.h
@@ -73,9 +73,9 @@
         pool_(executor, ConnectionPool::Options{}),
         retries_(limits.retries),
         poison_(metrics, limits.poison),
-        waiting_attempts_(executor, named_weights_, limits.older_weights) {
-    words_.SetTolerance(limits.backend_limits);
-    named_weights_.SetListener([this] { waiting_attempts_.Review(); });
+        queued_attempts_(executor, named_weights_, limits.older_weights) {
+    pushback_.SetTolerance(limits.backend_limits);
+    named_weights_.SetListener([this] { queued_attempts_.CancelExpired(); });
     directory_.SetTerminationListener([this](const Backend& backend) {
       poison_.RecordCrash(backend, "registration", Clock::now());
     });
@@ -93,9 +93,9 @@
   /// Applies to later decisions only.
   void SetLimits(const GatewayLimits& limits) {
     limits_ = limits;
-    retries_.SetBound(limits.retries);
-    words_.SetTolerance(limits.backend_limits);
-    waiting_attempts_.SetLimit(limits.older_weights);
+    retries_.SetLimits(limits.retries);
+    pushback_.SetTolerance(limits.backend_limits);
+    queued_attempts_.SetLimit(limits.older_weights);
   }
   const PlacementCosts& weights() const { return placement_weights_; }
   Metrics& metrics() { return metrics_; }
@@ -131,10 +131,10 @@
   const TransferLinks& links() const { return links_; }
 
   /// Estimated content of a KV cache store, see StoredPart.
-  const EngineCache& StoreContents(LinkHash store) { return kept_[store]; }
+  const EngineCache& StoreContents(LinkHash store) { return store_contents_[store]; }
 
   /// Observed prefill speed of a service's engines.
-  PrefillRateEstimator& reading_speed(const ServiceId& service);
+  PrefillRateEstimator& prefill_rate_estimator(const ServiceId& service);
   /// Prefill speed in tokens per millisecond; the configured value before any observation.
   double TokensPerMs(const ServiceId& service) const;
 
@@ -143,33 +143,33 @@
 
   WeightsHistory& named_weights() { return named_weights_; }
   const WeightsHistory& named_weights() const { return named_weights_; }
-  QueuedAttempts& queued_attempts() { return waiting_attempts_; }
+  QueuedAttempts& queued_attempts() { return queued_attempts_; }
   UnansweredAttempts& unanswered_attempts() { return unanswered_attempts_; }
   PoisonGuard& poison() { return poison_; }
   const PoisonGuard& poison() const { return poison_; }
 
   /// Waits a few milliseconds until it is known whether a backend server with an interrupted
-  /// attempt has crashed, see BackendProber::Confirm.
+  /// attempt has crashed, see BackendProber::ConfirmCrash.
   net::awaitable<void> ConfirmCrash(BackendPtr backend) {
-    if (confirm_end_) co_await confirm_end_(std::move(backend));
+    if (confirm_crash_) co_await confirm_crash_(std::move(backend));
   }
   using CrashConfirmer = std::function<net::awaitable<void>(BackendPtr)>;
-  void SetCrashConfirmer(CrashConfirmer confirm) { confirm_end_ = std::move(confirm); }
+  void SetCrashConfirmer(CrashConfirmer confirm) { confirm_crash_ = std::move(confirm); }
 
   /// Callbacks that acquire and refund quota.
   struct QuotaHandlers {
     std::function<net::awaitable<QuotaOutcome>(QuotaDemand)> acquire;
-    std::function<void(const QuotaTicket&)> give_back;
+    std::function<void(const QuotaTicket&)> refund;
   };
-  void SetQuotaHandlers(QuotaHandlers asker) { quota_asker_ = std::move(asker); }
+  void SetQuotaHandlers(QuotaHandlers handlers) { quota_handlers_ = std::move(handlers); }
   net::awaitable<QuotaOutcome> AcquireQuota(QuotaDemand demand);
   /// Refunds quota acquired for a request that was not executed.
   void RefundQuota(const QuotaTicket& ticket) {
-    if (quota_asker_.give_back) quota_asker_.give_back(ticket);
+    if (quota_handlers_.refund) quota_handlers_.refund(ticket);
   }
 
-  PushbackRegistry& words() { return words_; }
-  const PushbackRegistry& words() const { return words_; }
+  PushbackRegistry& pushback() { return pushback_; }
+  const PushbackRegistry& pushback() const { return pushback_; }
 
   DeferredRequests& deferred_requests() { return deferred_requests_; }
 
@@ -185,11 +185,11 @@
 
   /// Whether peers are queried before a request is placed. In a small fleet all gateways broadcast
   /// their load, so queries are unnecessary.
-  bool asks_first() const { return static_cast<bool>(ask_loads_); }
+  bool queries_peers() const { return static_cast<bool>(query_loads_); }
   /// Enables queries to peers; an empty function disables them.
-  void SetLoadAsker(LoadAsker ask) { ask_loads_ = std::move(ask); }
+  void SetLoadAsker(LoadAsker query) { query_loads_ = std::move(query); }
 
-  /// Queries peers and applies their reports. Requires asks_first().
+  /// Queries peers and applies their reports. Requires queries_peers().
   net::awaitable<LoadAnswer> QueryLoads(LoadQuestion question);
 
   /// Up to two engines that are estimated to have all these parts cached, those with the newest
@@ -209,20 +209,22 @@
 
   /// Number of live peers that do not report their load.
   double silent_gateways() const {
-    if (asks_first()) return 0;
-    return std::max(0.0, static_cast<double>(gateways_) - 1 - heard_gateways_);
+    if (queries_peers()) return 0;
+    return std::max(0.0, static_cast<double>(gateways_) - 1 - reporting_gateways_);
+  }
+  void SetReportingGateways(std::size_t reporting) {
+    reporting_gateways_ = static_cast<double>(reporting);
   }
-  void SetReportingGateways(std::size_t heard) { heard_gateways_ = static_cast<double>(heard); }
 
   /// Updates pending for the other gateways.
-  const GossipItems& news() const { return news_; }
+  const GossipItems& pending_updates() const { return pending_updates_; }
 
   /// Applies the placement of a request by this or another gateway.
   void ApplyPlacement(const PlacementUpdate& placed, TimePoint now);
   /// Applies a placement by this gateway and queues it for its peers.
   void PublishPlacement(PlacementUpdate placed);
   /// `listener` is called after each PublishPlacement.
-  void SetPlacementListener(std::function<void()> listener) { on_placed_ = std::move(listener); }
+  void SetPlacementListener(std::function<void()> listener) { on_placement_ = std::move(listener); }
 
   /// Reports a load change to the gateways that track the backend server.
   void NotifyLoadChanged() {
@@ -230,8 +232,8 @@
   }
   void SetLoadListener(std::function<void()> listener) { on_load_change_ = std::move(listener); }
 
-  /// Removes and returns pending updates, with at most `most_placed` placements.
-  GossipItems TakeNews(std::size_t most_placed);
+  /// Removes and returns pending updates, with at most `max_placements` placements.
+  GossipItems TakePendingUpdates(std::size_t max_placements);
 
   /// Stops new requests to a backend server for `length` at all gateways; zero resumes them.
   void Hold(Backend& backend, std::chrono::milliseconds length, TimePoint now);
@@ -251,12 +253,12 @@
   void BeginShutdown() { shutting_down_ = true; }
 
   /// Rejects new requests from now on, as they could not complete before shutdown.
-  void RefuseNewRequests() { refusing_new_ = true; }
-  bool refusing_new() const { return refusing_new_; }
+  void RejectNewRequests() { rejecting_new_ = true; }
+  bool rejecting_new() const { return rejecting_new_; }
 
   /// Requests without a response at `moment` are failed then.
-  void SetResponseDeadline(TimePoint moment) { last_answers_ = moment; }
-  TimePoint last_answers() const { return last_answers_; }
+  void SetResponseDeadline(TimePoint moment) { response_deadline_ = moment; }
+  TimePoint response_deadline() const { return response_deadline_; }
 
   std::uint32_t in_flight() const { return in_flight_; }
   void OnRequestStarted() { ++in_flight_; }
@@ -279,7 +281,7 @@
   Metrics& metrics_;
   ConnectionPool pool_;
   BackendDirectory directory_;
-  PushbackRegistry words_{directory_};
+  PushbackRegistry pushback_{directory_};
   SlidingRetryBudget retries_;
   std::shared_ptr<const RoutingSnapshot> snapshot_;
   TimePoint confirmed_at_{};
@@ -287,27 +289,27 @@
   PrefixShares own_shares_;       ///< from this gateway's requests
   SampledShares sampled_shares_;  ///< from all requests, as reported by peers
   TransferLinks links_;
-  std::unordered_map<LinkHash, EngineCache> kept_;  ///< by store
-  std::map<ServiceId, PrefillRateEstimator> reading_speeds_;
+  std::unordered_map<LinkHash, EngineCache> store_contents_;  ///< by store
+  std::map<ServiceId, PrefillRateEstimator> prefill_rate_estimators_;
   PromptSizes prompt_sizes_;
   WeightsHistory named_weights_;
   PoisonGuard poison_;
-  CrashConfirmer confirm_end_;
-  QuotaHandlers quota_asker_;
-  QueuedAttempts waiting_attempts_;
+  CrashConfirmer confirm_crash_;
+  QuotaHandlers quota_handlers_;
+  QueuedAttempts queued_attempts_;
   UnansweredAttempts unanswered_attempts_;
   DeferredRequests deferred_requests_;
   std::uint32_t gateways_ = 1;
-  double heard_gateways_ = 0;
-  GossipItems news_;
-  std::function<void()> on_placed_;
+  double reporting_gateways_ = 0;
+  GossipItems pending_updates_;
+  std::function<void()> on_placement_;
   std::function<void()> on_load_change_;
-  LoadAsker ask_loads_;
+  LoadAsker query_loads_;
   std::uint32_t in_flight_ = 0;
   std::uint64_t sequence_ = 0;
-  TimePoint last_answers_ = TimePoint::max();
+  TimePoint response_deadline_ = TimePoint::max();
   bool shutting_down_ = false;
-  bool refusing_new_ = false;
+  bool rejecting_new_ = false;
 };
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/interrupted_attempts.h
+++ b/libs/gateway/include/gateway/interrupted_attempts.h
@@ -21,22 +21,22 @@
  public:
   /// Maximum time between an interruption and the crash that caused it: unless detected earlier, a
   /// crash is noticed when the registration expires after three heartbeats, 3.6 s.
-  static constexpr std::chrono::milliseconds kSameCause{5'000};
+  static constexpr std::chrono::milliseconds kMatchWindow{5'000};
   /// Maximum number of remembered attempts; a backend server runs a few hundred at most.
-  static constexpr std::size_t kMost = 20'000;
+  static constexpr std::size_t kMaxAttempts = 20'000;
 
   /// Records an interrupted request. Returns whether the backend server is known to have crashed
   /// recently.
-  bool Note(BackendHash backend, RequestFingerprint request, TimePoint now);
+  bool Record(BackendHash backend, RequestFingerprint request, TimePoint now);
 
   /// Records a crash of the backend server and returns the requests interrupted there.
-  std::vector<RequestFingerprint> End(BackendHash backend, TimePoint now);
+  std::vector<RequestFingerprint> RecordCrash(BackendHash backend, TimePoint now);
 
-  bool HasCrashed(BackendHash backend) const { return ended_.contains(backend); }
-  std::size_t size() const { return broken_.size(); }
+  bool HasCrashed(BackendHash backend) const { return crashed_at_.contains(backend); }
+  std::size_t size() const { return attempts_.size(); }
 
  private:
-  struct Broken {
+  struct Interruption {
     BackendHash backend = 0;
     RequestFingerprint request;
     TimePoint at{};
@@ -44,8 +44,8 @@
 
   void Expire(TimePoint now);
 
-  std::deque<Broken> broken_;  ///< ordered by time
-  std::unordered_map<BackendHash, TimePoint> ended_;
+  std::deque<Interruption> attempts_;  ///< ordered by time
+  std::unordered_map<BackendHash, TimePoint> crashed_at_;
 };
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/peer_backoffs.h
+++ b/libs/gateway/include/gateway/peer_backoffs.h
@@ -16,24 +16,24 @@
 /// supplies the time.
 class PeerBackoffs {
  public:
-  void Note(std::uint64_t gateway, TimePoint until) {
-    auto known = std::ranges::find(rests_, gateway, &Rest::gateway);
-    if (known == rests_.end()) known = std::ranges::min_element(rests_, {}, &Rest::until);
+  void Record(std::uint64_t gateway, TimePoint until) {
+    auto known = std::ranges::find(backoffs_, gateway, &Backoff::gateway);
+    if (known == backoffs_.end()) known = std::ranges::min_element(backoffs_, {}, &Backoff::until);
     if (until > known->until) *known = {gateway, until};
   }
 
   /// Until when at least two back-offs are in effect; the epoch if there were never two.
-  TimePoint TwoUntil() const { return std::min(rests_[0].until, rests_[1].until); }
+  TimePoint BothUntil() const { return std::min(backoffs_[0].until, backoffs_[1].until); }
 
-  void Clear() { rests_ = {}; }
+  void Clear() { backoffs_ = {}; }
 
  private:
-  struct Rest {
+  struct Backoff {
     std::uint64_t gateway = 0;  ///< 0: unused
     TimePoint until{};
   };
 
-  std::array<Rest, 2> rests_;  ///< the two that end last
+  std::array<Backoff, 2> backoffs_;  ///< the two that end last
 };
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/poison_detector.h
+++ b/libs/gateway/include/gateway/poison_detector.h
@@ -28,7 +28,7 @@
   /// between. An innocent request is retried on another server and may by chance share a second
   /// crash with the culprit: with 9 servers one in eight does, so two crashes prove nothing. 0
   /// disables detection.
-  std::uint32_t most_ends = 3;
+  std::uint32_t max_crashes = 3;
   /// How long a crash counts. Copies of a request may arrive minutes apart.
   std::chrono::milliseconds memory{600'000};
   /// How long a request is not sent at all, which bounds the cost of a false positive. Then it is
@@ -44,18 +44,18 @@
 /// thread-safe; the caller supplies the time.
 class PoisonDetector {
  public:
-  explicit PoisonDetector(PoisonOptions rule) : rule_(rule) {}
+  explicit PoisonDetector(PoisonOptions options) : options_(options) {}
 
   /// Records a crash of the backend server while it was running the request. Idempotent for the
   /// same crash. Returns whether this puts the request in quarantine.
-  bool TakeEnd(RequestFingerprint request, BackendHash backend, TimePoint now);
+  bool RecordCrash(RequestFingerprint request, BackendHash backend, TimePoint now);
 
   /// Clears all crashes counted so far, because a backend server completed the request. Returns
   /// whether there was anything to clear.
   bool ClearSuspicion(RequestFingerprint request, TimePoint now);
 
   /// Applies a quarantine decided elsewhere that lasts for `left`. Returns whether it is new here.
-  bool TakeQuarantine(RequestFingerprint request, Duration left, TimePoint now);
+  bool ApplyQuarantine(RequestFingerprint request, Duration left, TimePoint now);
 
   Suspicion SuspicionOf(RequestFingerprint request, TimePoint now) const;
 
@@ -67,24 +67,24 @@
     RequestFingerprint request;
     TimePoint until{};
   };
-  std::vector<Quarantine> Quarantined(TimePoint now) const;
+  std::vector<Quarantine> Quarantines(TimePoint now) const;
 
   std::size_t suspects() const { return records_.size(); }
 
  private:
   struct Record {
-    std::vector<BackendHash> ends;  ///< all reported crashes, including cleared ones
-    std::size_t forgiven = 0;       ///< number of leading entries that were cleared
-    TimePoint last{};               ///< when the last crash was reported
-    TimePoint until{};              ///< end of the quarantine; epoch: none
+    std::vector<BackendHash> crashes;  ///< all reported crashes, including cleared ones
+    std::size_t cleared = 0;           ///< number of leading entries that were cleared
+    TimePoint last_crash{};            ///< when the last crash was reported
+    TimePoint until{};                 ///< end of the quarantine; epoch: none
 
-    std::uint32_t counted() const { return static_cast<std::uint32_t>(ends.size() - forgiven); }
+    std::uint32_t counted() const { return static_cast<std::uint32_t>(crashes.size() - cleared); }
   };
 
   void MakeRoom(TimePoint now);
-  TimePoint ForgottenAt(const Record& record) const;
+  TimePoint ExpiresAt(const Record& record) const;
 
-  PoisonOptions rule_;
+  PoisonOptions options_;
   std::unordered_map<RequestFingerprint, Record> records_;
 };
 
--- a/libs/gateway/include/gateway/poison_guard.h
+++ b/libs/gateway/include/gateway/poison_guard.h
@@ -29,7 +29,7 @@
   using Attempts = CancellableAttempts<RequestFingerprint>;
   using Ticket = Attempts::Ticket;
 
-  PoisonGuard(Metrics& metrics, PoisonOptions rule) : metrics_(metrics), detector_(rule) {}
+  PoisonGuard(Metrics& metrics, PoisonOptions options) : metrics_(metrics), detector_(options) {}
 
   Suspicion SuspicionOf(RequestFingerprint request, TimePoint now) const {
     return detector_.SuspicionOf(request, now);
@@ -37,31 +37,33 @@
 
   /// Registers an attempt, which is cancelled if its request is quarantined, and sets `ticket`.
   void Watch(std::optional<Ticket>& ticket, RequestFingerprint request,
-             Attempts::Withdraw withdraw) {
-    running_.Add(ticket, request, std::move(withdraw));
+             Attempts::CancelCallback cancel) {
+    running_.Add(ticket, request, std::move(cancel));
   }
 
   /// Records an attempt that was interrupted or got no response.
   void RecordInterruption(const Backend& backend, RequestFingerprint request, TimePoint now);
   /// Records that the backend server has terminated; `evidence` is logged.
   void RecordCrash(const Backend& backend, const char* evidence, TimePoint now);
-  bool HasCrashed(const Backend& backend) const { return broken_.HasCrashed(HashOf(backend)); }
+  bool HasCrashed(const Backend& backend) const { return interrupted_.HasCrashed(HashOf(backend)); }
   /// Records that a backend server has completed the request.
   void RecordCompletion(RequestFingerprint request, TimePoint now);
 
   /// Applies an update from another gateway.
-  void Take(const PoisonUpdate& news, TimePoint now);
+  void ApplyUpdate(const PoisonUpdate& update, TimePoint now);
   /// Removes and returns the updates pending for the other gateways.
-  PoisonUpdate TakeNews();
+  PoisonUpdate TakeUpdate();
   /// `listener` is called when updates are pending.
-  void SetUpdateListener(std::function<void()> listener) { on_news_ = std::move(listener); }
+  void SetUpdateListener(std::function<void()> listener) { on_update_ = std::move(listener); }
 
   /// Applies a quarantine read from the platform's store that lasts for `left`.
-  void TakeStored(RequestFingerprint request, Duration left, TimePoint now);
+  void ApplyStored(RequestFingerprint request, Duration left, TimePoint now);
   /// Quarantines decided by this gateway or its peers, without those read from the store.
-  std::vector<PoisonDetector::Quarantine> Decided(TimePoint now);
+  std::vector<PoisonDetector::Quarantine> UnstoredQuarantines(TimePoint now);
   /// Whether this gateway decided the quarantine, and so writes it to the store without delay.
-  bool DecidedLocally(RequestFingerprint request) const { return decided_here_.contains(request); }
+  bool DecidedLocally(RequestFingerprint request) const {
+    return decided_locally_.contains(request);
+  }
   /// Removes and returns quarantines that ended early and must be deleted from the store.
   std::vector<RequestFingerprint> TakeReleased();
 
@@ -69,29 +71,29 @@
   /// quarantined here.
   bool Release(RequestFingerprint request, TimePoint now);
 
-  std::vector<PoisonDetector::Quarantine> Quarantined(TimePoint now) const {
-    return detector_.Quarantined(now);
+  std::vector<PoisonDetector::Quarantine> Quarantines(TimePoint now) const {
+    return detector_.Quarantines(now);
   }
   std::size_t suspects() const { return detector_.suspects(); }
 
  private:
-  void NoteEnd(const CrashReport& end, TimePoint now);
-  bool Forgive(RequestFingerprint request, TimePoint now);
-  bool Lift(RequestFingerprint request, TimePoint now);
-  void NoteReleased(RequestFingerprint request);
-  void TellQuarantined(RequestFingerprint request, TimePoint now);
+  void ReportCrash(const CrashReport& crash, TimePoint now);
+  bool ClearIfRecentlySucceeded(RequestFingerprint request, TimePoint now);
+  bool ClearRequest(RequestFingerprint request, TimePoint now);
+  void QueueRelease(RequestFingerprint request);
+  void ResendQuarantine(RequestFingerprint request, TimePoint now);
   void OnQuarantined(RequestFingerprint request, const char* source);
-  void Forget(RequestFingerprint request);
-  void Tell();
+  void ForgetOrigin(RequestFingerprint request);
+  void NotifyUpdate();
 
   Metrics& metrics_;
   PoisonDetector detector_;
-  InterruptedAttempts broken_;
-  RecentSuccesses survivors_;
-  PoisonUpdate news_;
-  std::function<void()> on_news_;
+  InterruptedAttempts interrupted_;
+  RecentSuccesses successes_;
+  PoisonUpdate pending_;
+  std::function<void()> on_update_;
   Attempts running_;
-  std::set<RequestFingerprint> decided_here_;
+  std::set<RequestFingerprint> decided_locally_;
   std::set<RequestFingerprint> from_store_;
   std::vector<RequestFingerprint> released_;
 };
--- a/libs/gateway/include/gateway/poison_update.h
+++ b/libs/gateway/include/gateway/poison_update.h
@@ -19,12 +19,12 @@
 
 /// Items are idempotent and may be sent any number of times.
 struct PoisonUpdate {
-  std::vector<CrashReport> ends;
+  std::vector<CrashReport> crashes;
   std::vector<RequestFingerprint>
-      survived;  ///< a backend server completed it, or an operator released it
+      cleared;  ///< a backend server completed it, or an operator released it
   std::vector<RequestFingerprint> quarantined;  ///< newly quarantined
 
-  bool empty() const { return ends.empty() && survived.empty() && quarantined.empty(); }
+  bool empty() const { return crashes.empty() && cleared.empty() && quarantined.empty(); }
 };
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/pushback_registry.h
+++ b/libs/gateway/include/gateway/pushback_registry.h
@@ -23,21 +23,23 @@
   explicit PushbackRegistry(BackendDirectory& directory) : directory_(directory) {}
 
   /// Applies the pushback in the response to a request sent at `sent`.
-  void Note(Backend& backend, const BackendPushback& notice, TimePoint sent, TimePoint now);
+  void ApplyPushback(Backend& backend, const BackendPushback& pushback, TimePoint sent,
+                     TimePoint now);
 
   /// Applies updates from another gateway. Returns this gateway's state where the sender's is
   /// older.
-  PushbackUpdateList Take(const PushbackUpdateList& news, std::uint64_t gateway, TimePoint now);
+  PushbackUpdateList ApplyUpdates(const PushbackUpdateList& updates, std::uint64_t gateway,
+                                  TimePoint now);
 
   /// Removes and returns the pending updates.
-  PushbackUpdateList TakeNews() { return std::exchange(news_, {}); }
+  PushbackUpdateList TakeUpdates() { return std::exchange(pending_, {}); }
   /// Returns the updates with current values; unregistered backend servers are omitted.
-  PushbackUpdateList Refreshed(const PushbackUpdateList& news, TimePoint now) const;
+  PushbackUpdateList WithCurrentState(const PushbackUpdateList& updates, TimePoint now) const;
   /// `listener` is called when updates are pending.
-  void SetUpdateListener(std::function<void()> listener) { on_news_ = std::move(listener); }
+  void SetUpdateListener(std::function<void()> listener) { on_update_ = std::move(listener); }
 
   /// Whether a limit was seen recently, so that quota holders are needed.
-  bool HasRecentLimit(TimePoint now) const { return now < counted_until_; }
+  bool HasRecentLimit(TimePoint now) const { return now < quota_needed_until_; }
   /// `listener` is called when a limit is seen.
   void SetLimitListener(std::function<void()> listener) { on_limit_ = std::move(listener); }
 
@@ -48,20 +50,20 @@
   /// Quota terms of its limit. Requires that it has one.
   QuotaLimits TermsFor(const Backend& backend) const;
   /// Removes and returns the terms that have changed since the last call.
-  std::map<QuotaSubject, QuotaLimits> TakeNewTerms() { return std::exchange(new_terms_, {}); }
+  std::map<QuotaSubject, QuotaLimits> TakeNewTerms() { return std::exchange(changed_terms_, {}); }
 
  private:
-  static PushbackUpdate NewsOf(const Backend& backend, TimePoint now);
-  static void TakeRest(Backend& backend, const PushbackUpdate& news, std::uint64_t gateway,
-                       TimePoint now);
-  void NoteChange(const Backend& backend, TimePoint now);
+  static PushbackUpdate UpdateFor(const Backend& backend, TimePoint now);
+  static void ApplyPeerBackoff(Backend& backend, const PushbackUpdate& update,
+                               std::uint64_t gateway, TimePoint now);
+  void OnStateChanged(const Backend& backend, TimePoint now);
 
   BackendDirectory& directory_;
   LimitTolerance tolerance_;
-  PushbackUpdateList news_;
-  std::map<QuotaSubject, QuotaLimits> new_terms_;
-  TimePoint counted_until_{};
-  std::function<void()> on_news_;
+  PushbackUpdateList pending_;
+  std::map<QuotaSubject, QuotaLimits> changed_terms_;
+  TimePoint quota_needed_until_{};
+  std::function<void()> on_update_;
   std::function<void()> on_limit_;
 };
 
--- a/libs/gateway/include/gateway/pushback_state.h
+++ b/libs/gateway/include/gateway/pushback_state.h
@@ -23,22 +23,22 @@
  public:
   /// Applies the pushback in the response to a request sent at `sent`. Returns whether it must be
   /// shared with the other gateways.
-  bool TakeNotice(const BackendPushback& notice, TimePoint sent, TimePoint now);
+  bool ApplyPushback(const BackendPushback& pushback, TimePoint sent, TimePoint now);
 
   /// Applies an update from another gateway. Returns whether the sender's state is older than this
   /// one.
-  bool TakeNews(const PushbackUpdate& news, TimePoint now);
-  PushbackUpdate News(BackendHash backend) const;
+  bool ApplyUpdate(const PushbackUpdate& update, TimePoint now);
+  PushbackUpdate ToUpdate(BackendHash backend) const;
 
   /// Records that another gateway was asked to back off until `until`. Returns whether this
   /// deprioritizes the server and it was not deprioritized before.
   bool RecordPeerBackoff(std::uint64_t gateway, TimePoint until, TimePoint now);
   /// Until then the server is chosen last: it has asked two or more peers to back off, and this
   /// gateway has received no response without a back-off since.
-  TimePoint deprioritized_until() const { return others_.TwoUntil(); }
+  TimePoint deprioritized_until() const { return peer_backoffs_.BothUntil(); }
   /// Whether peers should be informed of the back-off requested from this gateway.
   bool ShouldShareBackoff(TimePoint now) const {
-    return now < rest_until_ && now >= deprioritized_until();
+    return now < backoff_until_ && now >= deprioritized_until();
   }
 
   /// Returns whether a broadcast to peers begins now. Returns false while one is in progress: it
@@ -51,12 +51,12 @@
   std::uint64_t number() const { return number_; }
   bool leaving() const { return leaving_; }
   /// When this gateway last received a response.
-  TimePoint heard_at() const { return heard_at_; }
-  TimePoint rest_until() const { return rest_until_; }
+  TimePoint last_response_at() const { return last_response_at_; }
+  TimePoint backoff_until() const { return backoff_until_; }
 
   /// No request is sent before this time; in the past if requests are allowed.
-  TimePoint barred_until() const;
-  bool Bars(TimePoint now) const { return leaving_ || now < barred_until(); }
+  TimePoint blocked_until() const;
+  bool BlocksRequests(TimePoint now) const { return leaving_ || now < blocked_until(); }
 
   /// Blocks the server until `until` because no permit is available before.
   void BlockUntilPermit(TimePoint until);
@@ -72,15 +72,15 @@
   std::optional<RequestRate> limit_;
   bool leaving_ = false;
   std::uint64_t number_ = 0;  ///< of `limit_` and `leaving_`
-  TimePoint known_at_{};      ///< when they were last changed here
+  TimePoint changed_at_{};    ///< when they were last changed here
   TimePoint limited_since_{};
-  TimePoint told_from_{};
-  TimePoint heard_at_{};
-  TimePoint rest_until_{};
-  PeerBackoffs others_;
-  TimePoint others_heard_at_{};
-  TimePoint no_permit_until_{};
-  std::int64_t uncounted_turn_ = -1;  ///< last slot that was used
+  TimePoint broadcast_started_at_{};
+  TimePoint last_response_at_{};
+  TimePoint backoff_until_{};
+  PeerBackoffs peer_backoffs_;
+  TimePoint last_peer_backoff_at_{};
+  TimePoint permit_blocked_until_{};
+  std::int64_t last_fallback_slot_ = -1;  ///< last slot that was used
 };
 
 }  // namespace ridgehold
--- a/libs/gateway/include/gateway/pushback_update.h
+++ b/libs/gateway/include/gateway/pushback_update.h
@@ -20,7 +20,7 @@
   std::optional<RequestRate> limit;  ///< empty: no limit applies
   bool leaving = false;
   /// Remaining back-off that the server requested from the sender of this update; empty: none.
-  std::optional<std::chrono::milliseconds> rest_left{};
+  std::optional<std::chrono::milliseconds> backoff_left{};
 
   bool operator==(const PushbackUpdate&) const = default;
 };
--- a/libs/gateway/include/gateway/queued_attempts.h
+++ b/libs/gateway/include/gateway/queued_attempts.h
@@ -37,12 +37,12 @@
 
   /// Watches an attempt queued at an engine with these weights while `ticket`, which is set here,
   /// lives.
-  void Add(std::optional<Ticket>& ticket, const RequiredWeights& asked,
-           Attempts::Withdraw withdraw);
+  void Add(std::optional<Ticket>& ticket, const RequiredWeights& required,
+           Attempts::CancelCallback cancel);
 
   /// Cancels attempts past their deadline. Call after weights were announced or the time of an
   /// announcement was corrected.
-  void Review();
+  void CancelExpired();
 
   void SetLimit(std::chrono::milliseconds limit);
 
@@ -50,9 +50,9 @@
 
  private:
   /// Deadline for the attempt to start; empty while its weights are the newest.
-  std::optional<TimePoint> BoundOf(const RequiredWeights& asked) const;
+  std::optional<TimePoint> DeadlineOf(const RequiredWeights& required) const;
   /// Arms the timer unless it expires earlier already.
-  void ArmFor(TimePoint bound);
+  void ArmFor(TimePoint deadline);
 
   const WeightsHistory& named_;
   std::chrono::milliseconds limit_;
--- a/libs/gateway/include/gateway/recent_successes.h
+++ b/libs/gateway/include/gateway/recent_successes.h
@@ -21,13 +21,14 @@
  public:
   /// Retention period. For this long a request is still trusted after it begins to crash servers,
   /// for example because of new weights or a new release.
-  static constexpr std::chrono::milliseconds kRecent{10'000};
-  /// More than a gateway serves within kRecent, at about 10 requests/s in a large fleet and 100 in
-  /// a small one.
-  static constexpr std::size_t kMost = 10'000;
+  static constexpr std::chrono::milliseconds kRetention{10'000};
+  /// More than a gateway serves within kRetention, at about 10 requests/s in a large fleet and 100
+  /// in a small one.
+  static constexpr std::size_t kMaxEntries = 10'000;
 
   void Add(RequestFingerprint request, TimePoint now) {
-    while (!order_.empty() && (order_.size() >= kMost || now - order_.front().second >= kRecent)) {
+    while (!order_.empty() &&
+           (order_.size() >= kMaxEntries || now - order_.front().second >= kRetention)) {
       const auto found = latest_.find(order_.front().first);
       if (found != latest_.end() && found->second == order_.front().second) latest_.erase(found);
       order_.pop_front();
@@ -38,7 +39,7 @@
 
   bool Contains(RequestFingerprint request, TimePoint now) const {
     const auto found = latest_.find(request);
-    return found != latest_.end() && now - found->second < kRecent;
+    return found != latest_.end() && now - found->second < kRetention;
   }
 
  private:
--- a/libs/gateway/include/gateway/sliding_retry_budget.h
+++ b/libs/gateway/include/gateway/sliding_retry_budget.h
@@ -33,10 +33,10 @@
   /// ConnectionPool::Options::connect_timeout.
   static constexpr std::chrono::milliseconds kMaxConnectDelay{700};
 
-  explicit SlidingRetryBudget(RetryBudgetLimits bound) : bound_(bound) {}
+  explicit SlidingRetryBudget(RetryBudgetLimits limits) : limits_(limits) {}
 
   /// Another bound holds from now on; existing counts are kept.
-  void SetBound(RetryBudgetLimits bound) { bound_ = bound; }
+  void SetLimits(RetryBudgetLimits limits) { limits_ = limits; }
 
   /// Sets the number of live gateways. An increase divides the slack further at once. A decrease
   /// takes effect only after a window: until then retries of departed gateways still count, and
@@ -44,13 +44,13 @@
   void SetGateways(std::uint32_t gateways, TimePoint now);
 
   /// Records an incoming request for `service`.
-  void Earn(const ServiceId& service, TimePoint now);
+  void RecordRequest(const ServiceId& service, TimePoint now);
 
   /// Consumes one retry; returns false if the budget is exhausted.
-  bool Spend(const ServiceId& service, TimePoint now);
+  bool TryConsume(const ServiceId& service, TimePoint now);
 
   /// Number of retries that are allowed now.
-  double Left(const ServiceId& service, TimePoint now);
+  double Available(const ServiceId& service, TimePoint now);
 
  private:
   static constexpr std::size_t kSteps = 20;
@@ -82,14 +82,14 @@
   };
 
   /// Maximum number of gateways at any time within the counted span that ends at `now`.
-  std::uint32_t MostGateways(TimePoint now);
+  std::uint32_t MaxGateways(TimePoint now);
 
   std::int64_t StepAt(TimePoint now) const;
 
   /// Retries granted within this span may arrive in the same window as one granted now.
-  std::chrono::milliseconds CountedSpan() const { return bound_.window + kMaxConnectDelay; }
+  std::chrono::milliseconds CountedSpan() const { return limits_.window + kMaxConnectDelay; }
 
-  RetryBudgetLimits bound_;
+  RetryBudgetLimits limits_;
   std::deque<GatewayCount> gateway_counts_;  ///< each smaller than the one before
   std::map<ServiceId, Counters> counters_;
 };
--- a/libs/gateway/src/admission.cc
+++ b/libs/gateway/src/admission.cc
@@ -9,21 +9,22 @@
 
 }  // namespace
 
-bool Admission::InTime(const AdmissionQuery& query) {
-  return query.age + query.ahead + query.own <= query.objective;
+bool Admission::MeetsObjective(const AdmissionQuery& query) {
+  return query.age + query.queued_work + query.own_work <= query.objective;
 }
 
 bool Admission::WaitExpired(const AdmissionQuery& query) const {
-  return query.age >= FractionOf(rule_.max_wait_objectives, query.objective);
+  return query.age >= FractionOf(options_.max_wait_objectives, query.objective);
 }
 
 bool Admission::MaySend(const AdmissionQuery& query) const {
-  const bool has_objectives = query.objective > Duration::zero() && query.room > Duration::zero();
-  if (!rule_.enabled || !has_objectives) return true;
+  const bool has_objectives =
+      query.objective > Duration::zero() && query.capacity > Duration::zero();
+  if (!options_.enabled || !has_objectives) return true;
   if (WaitExpired(query)) return true;
-  if (query.ahead <= FractionOf(rule_.late_load_fraction, query.room)) return true;
-  return InTime(query) &&
-         query.ahead + query.own <= FractionOf(rule_.max_load_fraction, query.room);
+  if (query.queued_work <= FractionOf(options_.late_load_fraction, query.capacity)) return true;
+  return MeetsObjective(query) && query.queued_work + query.own_work <=
+                                      FractionOf(options_.max_load_fraction, query.capacity);
 }
 
 }  // namespace ridgehold
--- a/libs/gateway/src/attempt_policy.cc
+++ b/libs/gateway/src/attempt_policy.cc
@@ -19,14 +19,14 @@
 
 /// Whether another backend server may give a better response.
 bool IsWorthRetrying(const RetryDecisionInput& facts) {
-  if (facts.end != AttemptOutcome::kAnswered) return true;
+  if (facts.outcome != AttemptOutcome::kAnswered) return true;
   return facts.status >= kFirstServerError || ImpliesNotExecuted(facts.status);
 }
 
 /// Whether the response may be forwarded unchanged. A status that implies "not executed" is never
 /// forwarded here; it is reported only if that is proved for all attempts.
 bool IsDeliverable(const RetryDecisionInput& facts) {
-  if (facts.end != AttemptOutcome::kAnswered || facts.stream_begun) return false;
+  if (facts.outcome != AttemptOutcome::kAnswered || facts.stream_begun) return false;
   if (facts.status < kFirstError) return facts.has_signature;
   return !ImpliesNotExecuted(facts.status);
 }
@@ -34,13 +34,14 @@
 }  // namespace
 
 bool ProvesNotExecuted(const RetryDecisionInput& facts) {
-  if (facts.end == AttemptOutcome::kNotSent || facts.end == AttemptOutcome::kSkipped) return true;
-  return facts.end == AttemptOutcome::kAnswered &&
+  if (facts.outcome == AttemptOutcome::kNotSent || facts.outcome == AttemptOutcome::kSkipped)
+    return true;
+  return facts.outcome == AttemptOutcome::kAnswered &&
          (facts.not_executed || facts.status == kMisdirected);
 }
 
 NextStep DecideNext(const RetryDecisionInput& facts) {
-  if (facts.end == AttemptOutcome::kStreamed || facts.end == AttemptOutcome::kCallerGone) {
+  if (facts.outcome == AttemptOutcome::kStreamed || facts.outcome == AttemptOutcome::kCallerGone) {
     return NextStep::kDone;
   }
   const bool not_run = ProvesNotExecuted(facts);
@@ -57,7 +58,7 @@
 
 NextStep StepWithoutRetry(const RetryDecisionInput& facts) {
   if (facts.stream_begun) return NextStep::kAbortStream;
-  if (!facts.may_have_run) return NextStep::kRefuse;
+  if (!facts.may_have_run) return NextStep::kReject;
   return IsDeliverable(facts) ? NextStep::kDeliver : NextStep::kFail;
 }
 
--- a/libs/gateway/src/backend_directory.cc
+++ b/libs/gateway/src/backend_directory.cc
@@ -61,7 +61,8 @@
 
 void BackendDirectory::SaveNotice(const Backend& backend) {
   const PushbackState& notice = backend.notice_state;
-  const bool has_content = notice.limit() || notice.leaving() || notice.rest_until() != TimePoint();
+  const bool has_content =
+      notice.limit() || notice.leaving() || notice.backoff_until() != TimePoint();
   if (!has_content) return;
   if (saved_notices_.size() >= kMaxRememberedStarts) saved_notices_.clear();
   saved_notices_[HashOf(backend)] = notice;
--- a/libs/gateway/src/backend_load.cc
+++ b/libs/gateway/src/backend_load.cc
@@ -51,7 +51,7 @@
   // A wait that includes a fetch does not measure prefill.
   if (!fetches_) {
     const double tokens = queued_tokens_ + unprefilled_tokens_;
-    state_.reading_speed(backend_->entry.service).Record(tokens, waited);
+    state_.prefill_rate_estimator(backend_->entry.service).Record(tokens, waited);
   }
   EndPrefill();
   BackendDirectory::RecordFirstEvent(*backend_, waited, now);
--- a/libs/gateway/src/backend_permit.cc
+++ b/libs/gateway/src/backend_permit.cc
@@ -22,12 +22,12 @@
 
 /// Whether a request may be sent while no quota holder has answered.
 bool MayUseFallback(Backend& backend, bool asked, const PermitRequester& requester, TimePoint now) {
-  PushbackState& word = backend.notice_state;
-  if (!asked && now - word.limited_since() < kHolderTakeoverTime) return true;
-  if (word.TryUseFallbackSlot(HashOf(backend), requester.gateway, requester.gateways, now))
+  PushbackState& state = backend.notice_state;
+  if (!asked && now - state.limited_since() < kHolderTakeoverTime) return true;
+  if (state.TryUseFallbackSlot(HashOf(backend), requester.gateway, requester.gateways, now))
     return true;
-  word.BlockUntilPermit(
-      std::min<TimePoint>(FallbackSlots::NextTurn(now), now + kHolderRetryInterval));
+  state.BlockUntilPermit(
+      std::min<TimePoint>(FallbackSlots::NextSlot(now), now + kHolderRetryInterval));
   return false;
 }
 
@@ -55,9 +55,9 @@
   if (!backend->notice_state.limit()) co_return permit;
   const TimePoint start = Clock::now();
   QuotaDemand demand;
-  demand.subject = state.words().SubjectFor(*backend);
+  demand.subject = state.pushback().SubjectFor(*backend);
   demand.tokens = kQuotaTokensPerRequest;
-  demand.limits = state.words().TermsFor(*backend);
+  demand.limits = state.pushback().TermsFor(*backend);
   const QuotaOutcome outcome = co_await state.AcquireQuota(std::move(demand));
   const TimePoint now = Clock::now();
   permit.took = std::chrono::duration_cast<Duration>(now - start);
--- a/libs/gateway/src/backend_prober.cc
+++ b/libs/gateway/src/backend_prober.cc
@@ -36,20 +36,20 @@
   net::co_spawn(state_.executor(), Probe(backend), net::detached);
 }
 
-net::awaitable<void> BackendProber::Confirm(BackendPtr backend) {
+net::awaitable<void> BackendProber::ConfirmCrash(BackendPtr backend) {
   const TimePoint start = Clock::now();
   if (!options_.enabled) co_return;
   const bool known =
       state_.poison().HasCrashed(*backend) || start - backend->probed_at < options_.pause;
   if (!known && !backend->probing && running_ < options_.max_concurrent) StartProbe(backend);
   Timer timer(state_.executor());
-  while (backend->probing && Clock::now() - start < options_.confirm_limit) {
+  while (backend->probing && Clock::now() - start < options_.confirm_timeout) {
     co_await WaitFor(timer, kConfirmPollInterval);
   }
   if (state_.poison().HasCrashed(*backend)) co_await WaitFor(timer, options_.peer_report_delay);
 }
 
-bool BackendProber::NothingOpen(const Backend& backend) {
+bool BackendProber::HasNoOpenConnection(const Backend& backend) {
   return backend.in_flight == 0 && !state_.pool().HasOpenConnection(backend.entry.address);
 }
 
@@ -76,7 +76,7 @@
   --running_;
   backend->probing = false;
   const bool reached = fault == ExchangeFault::kNone;
-  if (connection->connection_refused() && NothingOpen(*backend)) {
+  if (connection->connection_refused() && HasNoOpenConnection(*backend)) {
     state_.poison().RecordCrash(*backend, "refused", Clock::now());
   }
   if (reached == backend->reachable && !backend->needs_probe) co_return;
--- a/libs/gateway/src/backend_search.cc
+++ b/libs/gateway/src/backend_search.cc
@@ -38,7 +38,8 @@
   DeferredRequests::Ticket ticket(state_.deferred_requests(), request_.plan.priority.value_or(0));
   Timer timer(state_.executor());
   const TimePoint began = Clock::now();
-  const auto pause = state_.asks_first() ? DeferredRequests::kAskingLook : DeferredRequests::kLook;
+  const auto pause = state_.queries_peers() ? DeferredRequests::kPeerPollInterval
+                                            : DeferredRequests::kPollInterval;
   Outcome outcome = Outcome::kWait;
   while (outcome == Outcome::kWait && !request_.abandoned() &&
          Clock::now() + state_.limits().min_attempt_time < request_.wait_limit()) {
@@ -64,7 +65,7 @@
 
 net::awaitable<std::optional<BackendChoice>> BackendSearch::Choose() {
   const auto& [plan, inbound, tried, record, abandoned, wait_limit] = request_;
-  if (!state_.asks_first()) co_return ChooseFor(state_, plan, inbound, tried, Clock::now());
+  if (!state_.queries_peers()) co_return ChooseFor(state_, plan, inbound, tried, Clock::now());
   PolledChoice asked = co_await PollAndChoose(state_, plan, inbound, tried);
   record.poll = asked.poll;
   co_return std::move(asked.choice);
@@ -72,10 +73,10 @@
 
 bool BackendSearch::MayRetry(DeferredRequests::Ticket& ticket,
                              const std::optional<BackendChoice>& choice) const {
-  if (!choice) return ticket.MayLook() || !HasCapacitySoon();
+  if (!choice) return ticket.MayPoll() || !HasCapacitySoon();
   const AdmissionQuery place = AdmissionQueryFor(request_.plan, *choice, Clock::now());
-  if (!Admission::InTime(place)) ticket.MarkLate();
-  return ticket.MayLook() || AdmissionOptions().WaitExpired(place);
+  if (!Admission::MeetsObjective(place)) ticket.MarkLate();
+  return ticket.MayPoll() || AdmissionOptions().WaitExpired(place);
 }
 
 bool BackendSearch::MaySend(const BackendChoice& choice) const {
--- a/libs/gateway/src/deferred_requests.cc
+++ b/libs/gateway/src/deferred_requests.cc
@@ -5,25 +5,25 @@
 
 namespace ridgehold {
 
-DeferredRequests::Ticket::Ticket(DeferredRequests& line, int priority)
-    : line_(line), place_{false, priority, ++line.last_number_} {
-  line_.places_.insert(place_);
+DeferredRequests::Ticket::Ticket(DeferredRequests& queue, int priority)
+    : queue_(queue), position_{false, priority, ++queue.last_number_} {
+  queue_.positions_.insert(position_);
 }
 
-DeferredRequests::Ticket::~Ticket() { line_.places_.erase(place_); }
+DeferredRequests::Ticket::~Ticket() { queue_.positions_.erase(position_); }
 
 void DeferredRequests::Ticket::MarkLate() {
-  if (place_.late) return;
-  line_.places_.erase(place_);
-  place_.late = true;
-  line_.places_.insert(place_);
+  if (position_.late) return;
+  queue_.positions_.erase(position_);
+  position_.late = true;
+  queue_.positions_.insert(position_);
 }
 
-bool DeferredRequests::Ticket::MayLook() const {
-  const auto looking = static_cast<std::ptrdiff_t>(std::min(kLooking, line_.places_.size()));
-  const auto first = line_.places_.begin();
-  return std::any_of(first, std::next(first, looking),
-                     [this](const Place& place) { return place == place_; });
+bool DeferredRequests::Ticket::MayPoll() const {
+  const auto polling = static_cast<std::ptrdiff_t>(std::min(kMaxPolling, queue_.positions_.size()));
+  const auto first = queue_.positions_.begin();
+  return std::any_of(first, std::next(first, polling),
+                     [this](const Position& position) { return position == position_; });
 }
 
 }  // namespace ridgehold
--- a/libs/gateway/src/event_relay.cc
+++ b/libs/gateway/src/event_relay.cc
@@ -8,21 +8,21 @@
 std::optional<std::uint64_t> ParseNumber(std::string_view text) {
   std::uint64_t number = 0;
   const auto parsed = std::from_chars(text.data(), text.data() + text.size(), number);
-  const bool whole = parsed.ec == std::errc() && parsed.ptr == text.data() + text.size();
-  return whole ? std::optional(number) : std::nullopt;
+  const bool complete = parsed.ec == std::errc() && parsed.ptr == text.data() + text.size();
+  return complete ? std::optional(number) : std::nullopt;
 }
 
 }  // namespace
 
-std::string EventRelay::Take(std::string_view bytes) {
+std::string EventRelay::Feed(std::string_view bytes) {
   reader_.Append(bytes);
-  std::string fresh;
+  std::string new_events;
   while (auto event = reader_.Next()) {
     if (IsDuplicate(*event)) continue;
-    fresh += event->raw;
-    passed_any_ = true;
+    new_events += event->raw;
+    any_forwarded_ = true;
   }
-  return fresh;
+  return new_events;
 }
 
 bool EventRelay::IsDuplicate(const SseEvent& event) {
--- a/libs/gateway/src/exchange_plan.cc
+++ b/libs/gateway/src/exchange_plan.cc
@@ -145,7 +145,7 @@
 
 Result<ExchangePlan> PlanExchange(const GatewayState& state, const InboundRequest& request,
                                   TimePoint now) {
-  if (state.refusing_new()) return Fail(ResultCode::kShuttingDown, "");
+  if (state.rejecting_new()) return Fail(ResultCode::kShuttingDown, "");
   ExchangePlan plan;
   plan.snapshot = state.snapshot();
   if (!plan.snapshot) return Fail(ResultCode::kNotReady, "");
@@ -174,7 +174,7 @@
                                       const std::set<BackendId>& tried, TimePoint now) {
   std::vector<BackendPtr> candidates = state.directory().Usable(plan.service, now);
   std::erase_if(candidates, [&](const BackendPtr& backend) {
-    if (tried.contains(backend->entry.id) || backend->notice_state.Bars(now)) return true;
+    if (tried.contains(backend->entry.id) || backend->notice_state.BlocksRequests(now)) return true;
     if (plan.avoid_rate_limited && backend->notice_state.limit()) return true;
     if (!request.generation) return false;
     return !MayStartOnWeights(state, *backend, request.generation->model, now);
@@ -190,7 +190,7 @@
   // If a smaller fraction of the backend servers had no rate limit, they could not carry all small
   // requests.
   constexpr double kMinUnlimitedFraction = 0.1;
-  const bool small = plan.chain && state.words().HasRecentLimit(now) &&
+  const bool small = plan.chain && state.pushback().HasRecentLimit(now) &&
                      state.prompt_sizes().IsSmall(plan.service, plan.chain->prompt_tokens);
   if (!small) return false;
   const std::vector<BackendPtr> usable = state.directory().Usable(plan.service, now);
@@ -208,7 +208,7 @@
     const bool may_take =
         !request.generation || MayStartOnWeights(state, *backend, request.generation->model, now);
     if (tried.contains(backend->entry.id) || !may_take) continue;
-    const TimePoint accepts_at = std::max(now, backend->notice_state.barred_until());
+    const TimePoint accepts_at = std::max(now, backend->notice_state.blocked_until());
     earliest = earliest ? std::min(*earliest, accepts_at) : accepts_at;
   }
   return earliest;
@@ -298,9 +298,9 @@
 AdmissionQuery AdmissionQueryFor(const ExchangePlan& plan, const BackendChoice& choice,
                                  TimePoint now) {
   AdmissionQuery query;
-  query.ahead = DurationOf(choice.queue_ms);
-  query.own = DurationOf(choice.first_event_ms - choice.queue_ms);
-  query.room = plan.snapshot->ShortestObjective(plan.service);
+  query.queued_work = DurationOf(choice.queue_ms);
+  query.own_work = DurationOf(choice.first_event_ms - choice.queue_ms);
+  query.capacity = plan.snapshot->ShortestObjective(plan.service);
   query.objective = plan.route->latency_objective;
   query.age = std::chrono::duration_cast<Duration>(now - plan.received);
   return query;
@@ -311,7 +311,7 @@
   const Backend& backend = *choice.backend;
   if (backend.removed || backend.superseded || backend.entry.draining) return false;
   if (backend.grace_until && now >= *backend.grace_until) return false;
-  if (backend.notice_state.leaving() || now < backend.notice_state.rest_until()) return false;
+  if (backend.notice_state.leaving() || now < backend.notice_state.backoff_until()) return false;
   return !request.generation || MayStartOnWeights(state, backend, request.generation->model, now);
 }
 
@@ -378,25 +378,26 @@
                      const BackendResponseHead& head, TimePoint sent) {
   // A request is misdirected if another incarnation has answered it. The notice is then about that
   // incarnation and not about this one.
-  if (head.status != kMisdirected) state.words().Note(backend, head.notice, sent, Clock::now());
+  if (head.status != kMisdirected)
+    state.pushback().ApplyPushback(backend, head.pushback, sent, Clock::now());
   if (!request.generation || !head.weights) return;
   state.NoteWeights(backend, request.generation->model, *head.weights);
 }
 
 void RecordOutcome(const GatewayState& state, const InboundRequest& request, Backend& backend,
                    const RetryDecisionInput& facts, TimePoint now) {
-  switch (facts.end) {
+  switch (facts.outcome) {
     case AttemptOutcome::kStreamed:
       return BackendDirectory::RecordSuccess(backend);
     case AttemptOutcome::kAnswered:
       break;
     case AttemptOutcome::kNotSent:
-    case AttemptOutcome::kBroken:
+    case AttemptOutcome::kInterrupted:
     case AttemptOutcome::kTimedOut:
       return BackendDirectory::RecordFailure(backend, now);
     case AttemptOutcome::kCallerGone:
     case AttemptOutcome::kSkipped:
-    case AttemptOutcome::kWithdrawn:
+    case AttemptOutcome::kCancelled:
       return;
   }
   if (ProvesNotExecuted(facts)) {
--- a/libs/gateway/src/gateway_state.cc
+++ b/libs/gateway/src/gateway_state.cc
@@ -7,26 +7,29 @@
 
 namespace ridgehold {
 
-PrefillRateEstimator& GatewayState::reading_speed(const ServiceId& service) {
-  return reading_speeds_.try_emplace(service, placement_weights_.prefill_tokens_per_ms)
+PrefillRateEstimator& GatewayState::prefill_rate_estimator(const ServiceId& service) {
+  return prefill_rate_estimators_.try_emplace(service, placement_weights_.prefill_tokens_per_ms)
       .first->second;
 }
 
 double GatewayState::TokensPerMs(const ServiceId& service) const {
-  const auto found = reading_speeds_.find(service);
-  const bool observed = placement_weights_.estimate_prefill_rate && found != reading_speeds_.end();
+  const auto found = prefill_rate_estimators_.find(service);
+  const bool observed =
+      placement_weights_.estimate_prefill_rate && found != prefill_rate_estimators_.end();
   return observed ? found->second.tokens_per_ms() : placement_weights_.prefill_tokens_per_ms;
 }
 
-GossipItems GatewayState::TakeNews(std::size_t most_placed) {
+GossipItems GatewayState::TakePendingUpdates(std::size_t max_placements) {
   GossipItems taken;
-  std::swap(taken.holds, news_.holds);
-  std::swap(taken.weights, news_.weights);
-  std::swap(taken.unreachable, news_.unreachable);
-  const auto end = news_.placed.begin() +
-                   static_cast<std::ptrdiff_t>(std::min(most_placed, news_.placed.size()));
-  taken.placed.assign(std::make_move_iterator(news_.placed.begin()), std::make_move_iterator(end));
-  news_.placed.erase(news_.placed.begin(), end);
+  std::swap(taken.holds, pending_updates_.holds);
+  std::swap(taken.weights, pending_updates_.weights);
+  std::swap(taken.unreachable, pending_updates_.unreachable);
+  const auto end =
+      pending_updates_.placed.begin() +
+      static_cast<std::ptrdiff_t>(std::min(max_placements, pending_updates_.placed.size()));
+  taken.placed.assign(std::make_move_iterator(pending_updates_.placed.begin()),
+                      std::make_move_iterator(end));
+  pending_updates_.placed.erase(pending_updates_.placed.begin(), end);
   return taken;
 }
 
@@ -76,7 +79,7 @@
   links_.Reserve(placed.saved_to, placed.save_duration, now);
   const std::vector<SharedPart> parts = StoredParts(placed.parts, placed.weights);
   const KvCacheStore* store = StoreAt(placed.saved_to);
-  kept_[placed.saved_to].Use(parts, 0, store != nullptr ? store->cache_tokens : 0, now);
+  store_contents_[placed.saved_to].Use(parts, 0, store != nullptr ? store->cache_tokens : 0, now);
 }
 
 void GatewayState::ApplyPlacement(const PlacementUpdate& placed, TimePoint now) {
@@ -93,20 +96,20 @@
   const TimePoint now = Clock::now();
   if (!placed.parts.empty()) own_shares_.Record(placed.parts.front().hash, placed.new_tokens, now);
   ApplyPlacement(placed, now);
-  news_.placed.push_back(std::move(placed));
-  if (on_placed_) on_placed_();
+  pending_updates_.placed.push_back(std::move(placed));
+  if (on_placement_) on_placement_();
 }
 
 net::awaitable<QuotaOutcome> GatewayState::AcquireQuota(QuotaDemand demand) {
   // Without a quota client no request is allowed.
-  if (!quota_asker_.acquire) co_return QuotaOutcome();
-  QuotaOutcome outcome = co_await quota_asker_.acquire(std::move(demand));
+  if (!quota_handlers_.acquire) co_return QuotaOutcome();
+  QuotaOutcome outcome = co_await quota_handlers_.acquire(std::move(demand));
   co_return outcome;
 }
 
 net::awaitable<LoadAnswer> GatewayState::QueryLoads(LoadQuestion question) {
   const LoadQuestion asked = question;
-  LoadAnswer answer = co_await ask_loads_(std::move(question));
+  LoadAnswer answer = co_await query_loads_(std::move(question));
   const TimePoint now = Clock::now();
   for (const auto& [hash, report] : answer.backends) TakeReport(asked, report, now);
   for (const PrefixSample& sample : answer.samples) {
@@ -153,20 +156,20 @@
                                    TimePoint now) {
   const std::vector<SharedPart> parts = StoredParts(question.parts, question.weights);
   return {store.link,
-          kept_[store.link].Find(parts, placement_weights_.prefill_delay, now).prefilled,
+          store_contents_[store.link].Find(parts, placement_weights_.prefill_delay, now).prefilled,
           links_.QueueDelay(store.link, now)};
 }
 
 void GatewayState::Hold(Backend& backend, std::chrono::milliseconds length, TimePoint now) {
   backend.hold_until = now + length;
-  news_.holds.push_back({HashOf(backend), length});
+  pending_updates_.holds.push_back({HashOf(backend), length});
   NotifyLoadChanged();
 }
 
 void GatewayState::ReportUnreachable(Backend& backend) {
   backend.needs_probe = true;
   if (!std::exchange(backend.reachable, false)) return;
-  news_.unreachable.push_back(HashOf(backend));
+  pending_updates_.unreachable.push_back(HashOf(backend));
   NotifyLoadChanged();
   unanswered_attempts_.CancelAt(backend.entry.id);
 }
@@ -175,7 +178,7 @@
   // Half of the budget is reserved for another engine that is interrupted or fails at the same
   // time.
   constexpr double kBudgetFractionPerEngine = 0.5;
-  const double covered = kBudgetFractionPerEngine * retries_.Left(backend.entry.service, now);
+  const double covered = kBudgetFractionPerEngine * retries_.Available(backend.entry.service, now);
   const double resumable = backend.in_flight - std::min(backend.in_flight, backend.unrepeatable);
   return static_cast<std::uint32_t>(std::max(0.0, resumable - covered));
 }
@@ -184,7 +187,7 @@
   const auto known = backend.weights.find(model);
   if (known != backend.weights.end() && known->second >= number) return;
   BackendDirectory::RecordWeights(backend, model, number);
-  news_.weights.push_back({HashOf(backend), model, number});
+  pending_updates_.weights.push_back({HashOf(backend), model, number});
   NotifyLoadChanged();
 }
 
--- a/libs/gateway/src/interrupted_attempts.cc
+++ b/libs/gateway/src/interrupted_attempts.cc
@@ -4,29 +4,30 @@
 
 namespace ridgehold {
 
-bool InterruptedAttempts::Note(BackendHash backend, RequestFingerprint request, TimePoint now) {
+bool InterruptedAttempts::Record(BackendHash backend, RequestFingerprint request, TimePoint now) {
   Expire(now);
   if (HasCrashed(backend)) return true;
-  if (broken_.size() >= kMost) broken_.pop_front();
-  broken_.push_back({backend, request, now});
+  if (attempts_.size() >= kMaxAttempts) attempts_.pop_front();
+  attempts_.push_back({backend, request, now});
   return false;
 }
 
-std::vector<RequestFingerprint> InterruptedAttempts::End(BackendHash backend, TimePoint now) {
+std::vector<RequestFingerprint> InterruptedAttempts::RecordCrash(BackendHash backend,
+                                                                 TimePoint now) {
   Expire(now);
-  std::vector<RequestFingerprint> present;
-  if (!ended_.emplace(backend, now).second) return present;
-  std::erase_if(broken_, [&](const Broken& broken) {
-    if (broken.backend != backend) return false;
-    present.push_back(broken.request);
+  std::vector<RequestFingerprint> interrupted;
+  if (!crashed_at_.emplace(backend, now).second) return interrupted;
+  std::erase_if(attempts_, [&](const Interruption& interruption) {
+    if (interruption.backend != backend) return false;
+    interrupted.push_back(interruption.request);
     return true;
   });
-  return present;
+  return interrupted;
 }
 
 void InterruptedAttempts::Expire(TimePoint now) {
-  while (!broken_.empty() && now - broken_.front().at >= kSameCause) broken_.pop_front();
-  std::erase_if(ended_, [&](const auto& entry) { return now - entry.second >= kSameCause; });
+  while (!attempts_.empty() && now - attempts_.front().at >= kMatchWindow) attempts_.pop_front();
+  std::erase_if(crashed_at_, [&](const auto& entry) { return now - entry.second >= kMatchWindow; });
 }
 
 }  // namespace ridgehold
--- a/libs/gateway/src/poison_guard.cc
+++ b/libs/gateway/src/poison_guard.cc
@@ -33,131 +33,132 @@
 void PoisonGuard::RecordInterruption(const Backend& backend, RequestFingerprint request,
                                      TimePoint now) {
   const BackendHash hash = HashOf(backend);
-  if (broken_.Note(hash, request, now)) NoteEnd({hash, request}, now);
+  if (interrupted_.Record(hash, request, now)) ReportCrash({hash, request}, now);
 }
 
 void PoisonGuard::RecordCrash(const Backend& backend, const char* evidence, TimePoint now) {
   const BackendHash hash = HashOf(backend);
-  if (broken_.HasCrashed(hash)) return;
-  const std::vector<RequestFingerprint> present = broken_.End(hash, now);
-  if (present.empty()) return;
+  if (interrupted_.HasCrashed(hash)) return;
+  const std::vector<RequestFingerprint> running = interrupted_.RecordCrash(hash, now);
+  if (running.empty()) return;
   metrics_.GetCounter("ridgehold_backend_ends_under_requests").Add();
   Log(LogLevel::kWarn, "backend ended under requests",
       {{"backend", backend.entry.id.value()},
        {"address", backend.entry.address},
        {"evidence", evidence},
-       {"requests", std::to_string(present.size())},
-       {"fingerprints", ListOf(present)}});
-  for (const RequestFingerprint request : present) NoteEnd({hash, request}, now);
-}
-
-void PoisonGuard::NoteEnd(const CrashReport& end, TimePoint now) {
-  news_.ends.push_back(end);
-  const bool quarantines = detector_.TakeEnd(end.request, end.backend, now);
-  if (!Forgive(end.request, now) && quarantines) {
-    decided_here_.insert(end.request);
-    news_.quarantined.push_back(end.request);
-    OnQuarantined(end.request, "own");
+       {"requests", std::to_string(running.size())},
+       {"fingerprints", ListOf(running)}});
+  for (const RequestFingerprint request : running) ReportCrash({hash, request}, now);
+}
+
+void PoisonGuard::ReportCrash(const CrashReport& crash, TimePoint now) {
+  pending_.crashes.push_back(crash);
+  const bool quarantines = detector_.RecordCrash(crash.request, crash.backend, now);
+  if (!ClearIfRecentlySucceeded(crash.request, now) && quarantines) {
+    decided_locally_.insert(crash.request);
+    pending_.quarantined.push_back(crash.request);
+    OnQuarantined(crash.request, "own");
   }
-  Tell();
+  NotifyUpdate();
 }
 
 /// Clears a request at its last trial or in quarantine if a server has recently completed it, and
 /// reports this to peers, which might decide otherwise. Returns whether it was cleared.
-bool PoisonGuard::Forgive(RequestFingerprint request, TimePoint now) {
+bool PoisonGuard::ClearIfRecentlySucceeded(RequestFingerprint request, TimePoint now) {
   const Suspicion suspicion = detector_.SuspicionOf(request, now);
-  if (suspicion < Suspicion::kLastTrial || !survivors_.Contains(request, now)) return false;
-  Lift(request, now);
-  news_.survived.push_back(request);
-  Tell();
+  if (suspicion < Suspicion::kLastTrial || !successes_.Contains(request, now)) return false;
+  ClearRequest(request, now);
+  pending_.cleared.push_back(request);
+  NotifyUpdate();
   return true;
 }
 
 /// Clears the crashes counted against the request; returns whether there were any. A quarantine
 /// that this gateway wrote to the store or read from it is queued for deletion, as gateways that
 /// start later would apply it.
-bool PoisonGuard::Lift(RequestFingerprint request, TimePoint now) {
+bool PoisonGuard::ClearRequest(RequestFingerprint request, TimePoint now) {
   const bool quarantined = detector_.SuspicionOf(request, now) == Suspicion::kQuarantined;
-  const bool is_stored = decided_here_.contains(request) || from_store_.contains(request);
-  if (quarantined && is_stored) NoteReleased(request);
-  Forget(request);
+  const bool is_stored = decided_locally_.contains(request) || from_store_.contains(request);
+  if (quarantined && is_stored) QueueRelease(request);
+  ForgetOrigin(request);
   return detector_.ClearSuspicion(request, now);
 }
 
 void PoisonGuard::RecordCompletion(RequestFingerprint request, TimePoint now) {
-  survivors_.Add(request, now);
+  successes_.Add(request, now);
   if (detector_.suspects() == 0) return;
   const bool quarantined = detector_.SuspicionOf(request, now) == Suspicion::kQuarantined;
-  if (!Lift(request, now)) return;
+  if (!ClearRequest(request, now)) return;
   if (quarantined) {
     Log(LogLevel::kInfo, "quarantine ended: a backend server completed the request",
         {{"fingerprint", ToText(request)}});
-    NoteReleased(request);
+    QueueRelease(request);
   }
-  news_.survived.push_back(request);
-  Tell();
+  pending_.cleared.push_back(request);
+  NotifyUpdate();
 }
 
 bool PoisonGuard::Release(RequestFingerprint request, TimePoint now) {
   const bool quarantined = detector_.SuspicionOf(request, now) == Suspicion::kQuarantined;
-  Lift(request, now);
+  ClearRequest(request, now);
   Log(LogLevel::kInfo, "quarantine released by operator",
       {{"fingerprint", ToText(request)}, {"quarantined", quarantined ? "yes" : "no"}});
-  NoteReleased(request);
-  news_.survived.push_back(request);
-  Tell();
+  QueueRelease(request);
+  pending_.cleared.push_back(request);
+  NotifyUpdate();
   return quarantined;
 }
 
-void PoisonGuard::NoteReleased(RequestFingerprint request) {
+void PoisonGuard::QueueRelease(RequestFingerprint request) {
   if (std::ranges::find(released_, request) == released_.end()) released_.push_back(request);
 }
 
-void PoisonGuard::Take(const PoisonUpdate& news, TimePoint now) {
-  for (const CrashReport& end : news.ends) {
-    TellQuarantined(end.request, now);
-    const bool quarantines = detector_.TakeEnd(end.request, end.backend, now);
-    if (!Forgive(end.request, now) && quarantines) OnQuarantined(end.request, "peers");
+void PoisonGuard::ApplyUpdate(const PoisonUpdate& update, TimePoint now) {
+  for (const CrashReport& crash : update.crashes) {
+    ResendQuarantine(crash.request, now);
+    const bool quarantines = detector_.RecordCrash(crash.request, crash.backend, now);
+    if (!ClearIfRecentlySucceeded(crash.request, now) && quarantines)
+      OnQuarantined(crash.request, "peers");
   }
-  for (const RequestFingerprint request : news.quarantined) {
-    const bool taken = detector_.TakeQuarantine(request, Duration::max(), now);
-    if (!Forgive(request, now) && taken) OnQuarantined(request, "peer");
+  for (const RequestFingerprint request : update.quarantined) {
+    const bool is_new = detector_.ApplyQuarantine(request, Duration::max(), now);
+    if (!ClearIfRecentlySucceeded(request, now) && is_new) OnQuarantined(request, "peer");
   }
-  for (const RequestFingerprint request : news.survived) {
-    Lift(request, now);
+  for (const RequestFingerprint request : update.cleared) {
+    ClearRequest(request, now);
   }
 }
 
 /// Resends a quarantine decided here. A peer that reports a crash for the quarantined request has
 /// missed the quarantine: it has just started while the store was unavailable.
-void PoisonGuard::TellQuarantined(RequestFingerprint request, TimePoint now) {
+void PoisonGuard::ResendQuarantine(RequestFingerprint request, TimePoint now) {
   const bool quarantined = detector_.SuspicionOf(request, now) == Suspicion::kQuarantined;
   if (!quarantined || !DecidedLocally(request)) return;
-  if (std::ranges::find(news_.quarantined, request) != news_.quarantined.end()) return;
-  news_.quarantined.push_back(request);
-  Tell();
+  if (std::ranges::find(pending_.quarantined, request) != pending_.quarantined.end()) return;
+  pending_.quarantined.push_back(request);
+  NotifyUpdate();
 }
 
-void PoisonGuard::TakeStored(RequestFingerprint request, Duration left, TimePoint now) {
-  if (left <= Duration::zero() || !detector_.TakeQuarantine(request, left, now)) return;
+void PoisonGuard::ApplyStored(RequestFingerprint request, Duration left, TimePoint now) {
+  if (left <= Duration::zero() || !detector_.ApplyQuarantine(request, left, now)) return;
   from_store_.insert(request);
-  if (!Forgive(request, now)) OnQuarantined(request, "store");
+  if (!ClearIfRecentlySucceeded(request, now)) OnQuarantined(request, "store");
 }
 
-std::vector<PoisonDetector::Quarantine> PoisonGuard::Decided(TimePoint now) {
+std::vector<PoisonDetector::Quarantine> PoisonGuard::UnstoredQuarantines(TimePoint now) {
   const auto is_not_quarantined = [&](RequestFingerprint request) {
     return detector_.SuspicionOf(request, now) != Suspicion::kQuarantined;
   };
-  std::erase_if(decided_here_, is_not_quarantined);
+  std::erase_if(decided_locally_, is_not_quarantined);
   std::erase_if(from_store_, is_not_quarantined);
-  std::vector<PoisonDetector::Quarantine> decided = detector_.Quarantined(now);
-  std::erase_if(decided, [&](const auto& entry) { return from_store_.contains(entry.request); });
-  return decided;
+  std::vector<PoisonDetector::Quarantine> unstored = detector_.Quarantines(now);
+  std::erase_if(unstored, [&](const auto& entry) { return from_store_.contains(entry.request); });
+  return unstored;
 }
 
 std::vector<RequestFingerprint> PoisonGuard::TakeReleased() { return std::exchange(released_, {}); }
 
-PoisonUpdate PoisonGuard::TakeNews() { return std::exchange(news_, {}); }
+PoisonUpdate PoisonGuard::TakeUpdate() { return std::exchange(pending_, {}); }
 
 void PoisonGuard::OnQuarantined(RequestFingerprint request, const char* source) {
   metrics_.GetCounter("ridgehold_requests_quarantined", "source=\"" + std::string(source) + "\"")
@@ -170,13 +171,13 @@
   running_.CancelIf([&](RequestFingerprint running) { return running == request; });
 }
 
-void PoisonGuard::Forget(RequestFingerprint request) {
-  decided_here_.erase(request);
+void PoisonGuard::ForgetOrigin(RequestFingerprint request) {
+  decided_locally_.erase(request);
   from_store_.erase(request);
 }
 
-void PoisonGuard::Tell() {
-  if (on_news_) on_news_();
+void PoisonGuard::NotifyUpdate() {
+  if (on_update_) on_update_();
 }
 
 BackendPtr TrialBackend(RequestFingerprint request, std::span<const BackendPtr> candidates) {
--- a/libs/gateway/src/pushback_registry.cc
+++ b/libs/gateway/src/pushback_registry.cc
@@ -17,92 +17,92 @@
 constexpr std::chrono::milliseconds kMaxPeerBackoff{5'000};
 
 void LogState(const char* event, const Backend& backend) {
-  const PushbackState& word = backend.notice_state;
+  const PushbackState& state = backend.notice_state;
   const std::string limit =
-      word.limit() ? fmt::format("{:.3f}", word.limit()->per_second()) : "none";
+      state.limit() ? fmt::format("{:.3f}", state.limit()->per_second()) : "none";
   Log(LogLevel::kInfo, event,
       {{"backend", backend.entry.id.value()},
        {"address", backend.entry.address},
-       {"number", std::to_string(word.number())},
+       {"number", std::to_string(state.number())},
        {"limit", limit},
-       {"leaving", word.leaving() ? "yes" : "no"}});
+       {"leaving", state.leaving() ? "yes" : "no"}});
 }
 
 }  // namespace
 
-void PushbackRegistry::Note(Backend& backend, const BackendPushback& notice, TimePoint sent,
-                            TimePoint now) {
-  if (notice.rest) {
+void PushbackRegistry::ApplyPushback(Backend& backend, const BackendPushback& pushback,
+                                     TimePoint sent, TimePoint now) {
+  if (pushback.backoff) {
     Log(LogLevel::kInfo, "backend rests",
         {{"backend", backend.entry.id.value()},
          {"address", backend.entry.address},
-         {"rest_ms", std::to_string(notice.rest->count())}});
+         {"rest_ms", std::to_string(pushback.backoff->count())}});
   }
-  const bool changed = backend.notice_state.TakeNotice(notice, sent, now);
-  if (notice.limit) counted_until_ = now + kQuotaRetention;
+  const bool changed = backend.notice_state.ApplyPushback(pushback, sent, now);
+  if (pushback.limit) quota_needed_until_ = now + kQuotaRetention;
   if (changed) {
     LogState("backend notice", backend);
-    NoteChange(backend, now);
+    OnStateChanged(backend, now);
   }
-  const bool share = changed || (notice.rest && backend.notice_state.ShouldShareBackoff(now));
+  const bool share = changed || (pushback.backoff && backend.notice_state.ShouldShareBackoff(now));
   if (!share || !backend.notice_state.TryBeginBroadcast(now)) return;
-  news_.items.push_back(NewsOf(backend, now));
-  if (on_news_) on_news_();
+  pending_.items.push_back(UpdateFor(backend, now));
+  if (on_update_) on_update_();
 }
 
-PushbackUpdate PushbackRegistry::NewsOf(const Backend& backend, TimePoint now) {
-  PushbackUpdate news = backend.notice_state.News(HashOf(backend));
-  const TimePoint rest_until = backend.notice_state.rest_until();
-  if (now < rest_until) {
-    news.rest_left = std::chrono::ceil<std::chrono::milliseconds>(rest_until - now);
+PushbackUpdate PushbackRegistry::UpdateFor(const Backend& backend, TimePoint now) {
+  PushbackUpdate update = backend.notice_state.ToUpdate(HashOf(backend));
+  const TimePoint backoff_until = backend.notice_state.backoff_until();
+  if (now < backoff_until) {
+    update.backoff_left = std::chrono::ceil<std::chrono::milliseconds>(backoff_until - now);
   }
-  return news;
+  return update;
 }
 
-void PushbackRegistry::TakeRest(Backend& backend, const PushbackUpdate& news, std::uint64_t gateway,
-                                TimePoint now) {
-  if (!news.rest_left) return;
-  const TimePoint until = now + std::min(*news.rest_left, kMaxPeerBackoff);
+void PushbackRegistry::ApplyPeerBackoff(Backend& backend, const PushbackUpdate& update,
+                                        std::uint64_t gateway, TimePoint now) {
+  if (!update.backoff_left) return;
+  const TimePoint until = now + std::min(*update.backoff_left, kMaxPeerBackoff);
   if (!backend.notice_state.RecordPeerBackoff(gateway, until, now)) return;
   Log(LogLevel::kInfo, "backend deprioritized: two peers were asked to back off",
       {{"backend", backend.entry.id.value()},
        {"address", backend.entry.address},
-       {"rest_ms", std::to_string(news.rest_left->count())}});
+       {"rest_ms", std::to_string(update.backoff_left->count())}});
 }
 
-PushbackUpdateList PushbackRegistry::Take(const PushbackUpdateList& news, std::uint64_t gateway,
-                                          TimePoint now) {
+PushbackUpdateList PushbackRegistry::ApplyUpdates(const PushbackUpdateList& updates,
+                                                  std::uint64_t gateway, TimePoint now) {
   PushbackUpdateList newer;
-  for (const PushbackUpdate& item : news.items) {
+  for (const PushbackUpdate& item : updates.items) {
     const BackendPtr backend = directory_.FindByHash(item.backend);
     if (!backend) continue;
-    TakeRest(*backend, item, gateway, now);
-    const PushbackUpdate before = backend->notice_state.News(item.backend);
-    if (backend->notice_state.TakeNews(item, now)) newer.items.push_back(before);
-    if (backend->notice_state.News(item.backend) == before) continue;
+    ApplyPeerBackoff(*backend, item, gateway, now);
+    const PushbackUpdate before = backend->notice_state.ToUpdate(item.backend);
+    if (backend->notice_state.ApplyUpdate(item, now)) newer.items.push_back(before);
+    if (backend->notice_state.ToUpdate(item.backend) == before) continue;
     LogState("backend notice told", *backend);
-    NoteChange(*backend, now);
+    OnStateChanged(*backend, now);
   }
   return newer;
 }
 
-PushbackUpdateList PushbackRegistry::Refreshed(const PushbackUpdateList& news,
-                                               TimePoint now) const {
+PushbackUpdateList PushbackRegistry::WithCurrentState(const PushbackUpdateList& updates,
+                                                      TimePoint now) const {
   PushbackUpdateList refreshed;
-  for (const PushbackUpdate& item : news.items) {
+  for (const PushbackUpdate& item : updates.items) {
     const BackendPtr backend = directory_.FindByHash(item.backend);
-    if (backend) refreshed.items.push_back(NewsOf(*backend, now));
+    if (backend) refreshed.items.push_back(UpdateFor(*backend, now));
   }
   return refreshed;
 }
 
-void PushbackRegistry::NoteChange(const Backend& backend, TimePoint now) {
+void PushbackRegistry::OnStateChanged(const Backend& backend, TimePoint now) {
   if (!backend.notice_state.limit()) return;
-  counted_until_ = now + kQuotaRetention;
+  quota_needed_until_ = now + kQuotaRetention;
   // Pending terms are not consumed while this gateway holds no quota share. They may be dropped,
   // since each request carries its terms.
-  if (new_terms_.size() >= kMaxChangedTerms) new_terms_.clear();
-  new_terms_[SubjectFor(backend)] = TermsFor(backend);
+  if (changed_terms_.size() >= kMaxChangedTerms) changed_terms_.clear();
+  changed_terms_[SubjectFor(backend)] = TermsFor(backend);
   if (on_limit_) on_limit_();
 }
 
--- a/libs/gateway/src/request_log.cc
+++ b/libs/gateway/src/request_log.cc
@@ -21,7 +21,7 @@
       return "answered";
     case AttemptOutcome::kNotSent:
       return "not_sent";
-    case AttemptOutcome::kBroken:
+    case AttemptOutcome::kInterrupted:
       return "broken";
     case AttemptOutcome::kTimedOut:
       return "timed_out";
@@ -29,7 +29,7 @@
       return "caller_gone";
     case AttemptOutcome::kSkipped:
       return "skipped";
-    case AttemptOutcome::kWithdrawn:
+    case AttemptOutcome::kCancelled:
       return "withdrawn";
   }
   return "unknown";
@@ -43,7 +43,7 @@
       return "deliver";
     case NextStep::kRetry:
       return "try_again";
-    case NextStep::kRefuse:
+    case NextStep::kReject:
       return "refuse_not_run";
     case NextStep::kFail:
       return "fail_may_have_run";
@@ -120,10 +120,10 @@
 
 std::optional<NoticeRecord> NoticeRecordOf(const Backend& backend, TimePoint now) {
   const PushbackState& received = backend.notice_state;
-  const auto cool_down = std::chrono::duration_cast<Duration>(received.rest_until() - now);
-  const NoticeRecord notice{received.limit(), received.leaving(),
-                            std::max(Duration::zero(), cool_down),
-                            std::chrono::duration_cast<Duration>(now - received.heard_at())};
+  const auto cool_down = std::chrono::duration_cast<Duration>(received.backoff_until() - now);
+  const NoticeRecord notice{
+      received.limit(), received.leaving(), std::max(Duration::zero(), cool_down),
+      std::chrono::duration_cast<Duration>(now - received.last_response_at())};
   const bool nothing =
       !notice.limit && !notice.leaving && notice.cool_down_left == Duration::zero();
   return nothing ? std::nullopt : std::optional(notice);
@@ -196,7 +196,7 @@
                       {"address", backend.entry.address},
                       {"zone", backend.entry.zone.value()},
                       {"number", std::to_string(record.attempts)},
-                      {"end", std::string(NameOf(facts.end))},
+                      {"end", std::string(NameOf(facts.outcome))},
                       {"status", std::to_string(facts.status)},
                       {"not_executed", facts.not_executed ? "yes" : "no"},
                       {"code", std::string(Describe(code).name)},
--- a/libs/gateway/src/sliding_retry_budget.cc
+++ b/libs/gateway/src/sliding_retry_budget.cc
@@ -32,7 +32,7 @@
   gateway_counts_.push_back(latest);
 }
 
-std::uint32_t SlidingRetryBudget::MostGateways(TimePoint now) {
+std::uint32_t SlidingRetryBudget::MaxGateways(TimePoint now) {
   if (gateway_counts_.empty()) return 1;
   while (gateway_counts_.size() > 1 && now - gateway_counts_[1].since > CountedSpan()) {
     gateway_counts_.pop_front();
@@ -40,28 +40,28 @@
   return gateway_counts_.front().count;
 }
 
-void SlidingRetryBudget::Earn(const ServiceId& service, TimePoint now) {
+void SlidingRetryBudget::RecordRequest(const ServiceId& service, TimePoint now) {
   counters_[service].requests.Add(StepAt(now));
 }
 
-bool SlidingRetryBudget::Spend(const ServiceId& service, TimePoint now) {
-  if (Left(service, now) < 1) return false;
+bool SlidingRetryBudget::TryConsume(const ServiceId& service, TimePoint now) {
+  if (Available(service, now) < 1) return false;
   counters_[service].retries.push_back(now);
   return true;
 }
 
-double SlidingRetryBudget::Left(const ServiceId& service, TimePoint now) {
+double SlidingRetryBudget::Available(const ServiceId& service, TimePoint now) {
   Counters& counters = counters_[service];
-  const double earned = bound_.ratio * counters.requests.Sum(StepAt(now));
+  const double earned = limits_.ratio * counters.requests.Sum(StepAt(now));
   // At least one retry: in a large fleet every share would round down to none.
-  const double allowed = std::max(1.0, kUsedFraction * (bound_.slack / MostGateways(now) + earned));
+  const double allowed = std::max(1.0, kUsedFraction * (limits_.slack / MaxGateways(now) + earned));
   auto& retries = counters.retries;
   while (!retries.empty() && now - retries.front() > CountedSpan()) retries.pop_front();
   return std::max(0.0, allowed - static_cast<double>(retries.size()));
 }
 
 std::int64_t SlidingRetryBudget::StepAt(TimePoint now) const {
-  const auto step = std::chrono::duration_cast<Clock::duration>(bound_.window) / kSteps;
+  const auto step = std::chrono::duration_cast<Clock::duration>(limits_.window) / kSteps;
   return now.time_since_epoch() / step;
 }
 
--- a/libs/gateway/test/attempt_policy-test.cc
+++ b/libs/gateway/test/attempt_policy-test.cc
@@ -9,7 +9,7 @@
 
 RetryDecisionInput Answered(int status, bool not_executed, bool may_repeat) {
   RetryDecisionInput facts;
-  facts.end = AttemptOutcome::kAnswered;
+  facts.outcome = AttemptOutcome::kAnswered;
   facts.status = status;
   facts.not_executed = not_executed;
   facts.has_signature = !not_executed;
@@ -25,10 +25,10 @@
 rc::Gen<RetryDecisionInput> AnyFacts() {
   return rc::gen::exec([] {
     RetryDecisionInput facts;
-    facts.end = *rc::gen::element(AttemptOutcome::kStreamed, AttemptOutcome::kAnswered,
-                                  AttemptOutcome::kNotSent, AttemptOutcome::kBroken,
-                                  AttemptOutcome::kTimedOut, AttemptOutcome::kCallerGone);
-    if (facts.end == AttemptOutcome::kAnswered) {
+    facts.outcome = *rc::gen::element(AttemptOutcome::kStreamed, AttemptOutcome::kAnswered,
+                                      AttemptOutcome::kNotSent, AttemptOutcome::kInterrupted,
+                                      AttemptOutcome::kTimedOut, AttemptOutcome::kCallerGone);
+    if (facts.outcome == AttemptOutcome::kAnswered) {
       facts.status = *rc::gen::element(200, 204, 302, 400, 404, 408, 421, 429, 500, 503, 504);
       facts.not_executed = *rc::gen::arbitrary<bool>();
       facts.has_signature = *rc::gen::arbitrary<bool>();
@@ -76,7 +76,7 @@
 
 RC_BOOST_PROP(non_execution_is_reported_only_with_proof, ()) {
   const RetryDecisionInput facts = *AnyFacts();
-  if (DecideNext(facts) == NextStep::kRefuse) RC_ASSERT(!facts.may_have_run);
+  if (DecideNext(facts) == NextStep::kReject) RC_ASSERT(!facts.may_have_run);
 }
 
 RC_BOOST_PROP(delivered_status_never_implies_non_execution, ()) {
--- a/libs/gateway/test/event_relay-test.cc
+++ b/libs/gateway/test/event_relay-test.cc
@@ -18,20 +18,20 @@
 
 BOOST_AUTO_TEST_CASE(complete_event_is_forwarded_unmodified) {
   EventRelay relay(std::nullopt);
-  BOOST_TEST(relay.Take("x-weight: 3\r\nid: 1\r\ndata: a\r\n").empty());
+  BOOST_TEST(relay.Feed("x-weight: 3\r\nid: 1\r\ndata: a\r\n").empty());
   BOOST_TEST(relay.incomplete());
-  BOOST_TEST(relay.Take("\r\nid: 2") == "x-weight: 3\r\nid: 1\r\ndata: a\r\n\r\n");
+  BOOST_TEST(relay.Feed("\r\nid: 2") == "x-weight: 3\r\nid: 1\r\ndata: a\r\n\r\n");
   BOOST_TEST(relay.last_event().value() == 1);
 }
 
 BOOST_AUTO_TEST_CASE(events_without_a_number_are_forwarded) {
   EventRelay relay(std::nullopt);
-  BOOST_TEST(relay.Take("data: a\n\ndata: b\n\n") == "data: a\n\ndata: b\n\n");
+  BOOST_TEST(relay.Feed("data: a\n\ndata: b\n\n") == "data: a\n\ndata: b\n\n");
 }
 
 BOOST_AUTO_TEST_CASE(events_already_received_are_dropped) {
   EventRelay relay(4);
-  BOOST_TEST(relay.Take(Event(4) + Event(5)) == Event(5));
+  BOOST_TEST(relay.Feed(Event(4) + Event(5)) == Event(5));
 }
 
 RC_BOOST_PROP(each_event_is_forwarded_once_in_order_despite_interruptions, ()) {
@@ -51,7 +51,7 @@
     const auto cut = last ? bytes.size() : *rc::gen::inRange<std::size_t>(1, bytes.size() + 1);
     for (std::size_t at = 0; at < cut; at += 7) {
       forwarded +=
-          relay.Take(std::string_view(bytes).substr(at, std::min<std::size_t>(7, cut - at)));
+          relay.Feed(std::string_view(bytes).substr(at, std::min<std::size_t>(7, cut - at)));
     }
     done = static_cast<int>(relay.last_event().value_or(0));
   }
--- a/libs/gateway/test/poison_detector-test.cc
+++ b/libs/gateway/test/poison_detector-test.cc
@@ -17,7 +17,7 @@
 /// Detector to which three crashes under the request were reported at `kStart`.
 PoisonDetector Quarantining() {
   PoisonDetector detector(kRule);
-  for (const BackendHash backend : {1, 2, 3}) detector.TakeEnd(kRequest, backend, kStart);
+  for (const BackendHash backend : {1, 2, 3}) detector.RecordCrash(kRequest, backend, kStart);
   return detector;
 }
 
@@ -28,32 +28,32 @@
 BOOST_AUTO_TEST_CASE(third_crash_quarantines) {
   PoisonDetector detector(kRule);
   BOOST_TEST((detector.SuspicionOf(kRequest, kStart) == Suspicion::kNone));
-  BOOST_TEST(!detector.TakeEnd(kRequest, 1, kStart));
+  BOOST_TEST(!detector.RecordCrash(kRequest, 1, kStart));
   BOOST_TEST((detector.SuspicionOf(kRequest, kStart) == Suspicion::kSuspect));
-  BOOST_TEST(!detector.TakeEnd(kRequest, 2, kStart));
+  BOOST_TEST(!detector.RecordCrash(kRequest, 2, kStart));
   BOOST_TEST((detector.SuspicionOf(kRequest, kStart) == Suspicion::kLastTrial));
-  BOOST_TEST(detector.TakeEnd(kRequest, 3, kStart));
+  BOOST_TEST(detector.RecordCrash(kRequest, 3, kStart));
   BOOST_TEST((detector.SuspicionOf(kRequest, kStart) == Suspicion::kQuarantined));
   BOOST_TEST((detector.SuspicionOf(RequestFingerprint(8), kStart) == Suspicion::kNone));
 }
 
 BOOST_AUTO_TEST_CASE(crash_reported_by_several_gateways_counts_once) {
   PoisonDetector detector(kRule);
-  for (int i = 0; i < 9; ++i) BOOST_TEST(!detector.TakeEnd(kRequest, 1, kStart));
+  for (int i = 0; i < 9; ++i) BOOST_TEST(!detector.RecordCrash(kRequest, 1, kStart));
   BOOST_TEST(detector.CrashesOf(kRequest) == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(successful_run_clears_the_request) {
   PoisonDetector detector(kRule);
-  detector.TakeEnd(kRequest, 1, kStart);
-  detector.TakeEnd(kRequest, 2, kStart);
+  detector.RecordCrash(kRequest, 1, kStart);
+  detector.RecordCrash(kRequest, 2, kStart);
   BOOST_TEST(detector.ClearSuspicion(kRequest, kStart));
   BOOST_TEST(!detector.ClearSuspicion(kRequest, kStart));
   BOOST_TEST((detector.SuspicionOf(kRequest, kStart) == Suspicion::kNone));
   // A repeated report of an earlier crash does not count.
-  detector.TakeEnd(kRequest, 1, kStart);
+  detector.RecordCrash(kRequest, 1, kStart);
   BOOST_TEST(detector.CrashesOf(kRequest) == 0U);
-  BOOST_TEST(!detector.TakeEnd(kRequest, 3, kStart));
+  BOOST_TEST(!detector.RecordCrash(kRequest, 3, kStart));
   BOOST_TEST(detector.CrashesOf(kRequest) == 1U);
 }
 
@@ -68,7 +68,7 @@
   const TimePoint over = kStart + kRule.quarantine;
   BOOST_TEST((detector.SuspicionOf(kRequest, over - 1ms) == Suspicion::kQuarantined));
   BOOST_TEST((detector.SuspicionOf(kRequest, over) == Suspicion::kLastTrial));
-  BOOST_TEST(detector.TakeEnd(kRequest, 4, over));
+  BOOST_TEST(detector.RecordCrash(kRequest, 4, over));
   BOOST_TEST((detector.SuspicionOf(kRequest, over) == Suspicion::kQuarantined));
 }
 
@@ -83,20 +83,20 @@
 
 BOOST_AUTO_TEST_CASE(quarantine_from_peers_lasts_for_the_given_time) {
   PoisonDetector detector(kRule);
-  BOOST_TEST(detector.TakeQuarantine(kRequest, 20s, kStart));
-  BOOST_TEST(!detector.TakeQuarantine(kRequest, 20s, kStart + 1s));
+  BOOST_TEST(detector.ApplyQuarantine(kRequest, 20s, kStart));
+  BOOST_TEST(!detector.ApplyQuarantine(kRequest, 20s, kStart + 1s));
   BOOST_TEST((detector.SuspicionOf(kRequest, kStart + 19s) == Suspicion::kQuarantined));
   BOOST_TEST((detector.SuspicionOf(kRequest, kStart + 20s) == Suspicion::kLastTrial));
-  BOOST_TEST(detector.Quarantined(kStart).size() == 1U);
+  BOOST_TEST(detector.Quarantines(kStart).size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(memory_is_bounded_and_retains_quarantines_longest) {
   PoisonOptions rule;
   rule.max_suspects = 100;
   PoisonDetector detector(rule);
-  for (const BackendHash backend : {1, 2, 3}) detector.TakeEnd(kRequest, backend, kStart);
+  for (const BackendHash backend : {1, 2, 3}) detector.RecordCrash(kRequest, backend, kStart);
   for (std::uint64_t i = 0; i < 10'000; ++i) {
-    detector.TakeEnd(RequestFingerprint(1'000 + i), 4, kStart + std::chrono::milliseconds(i));
+    detector.RecordCrash(RequestFingerprint(1'000 + i), 4, kStart + std::chrono::milliseconds(i));
   }
   BOOST_TEST(detector.suspects() == 100U);
   BOOST_TEST((detector.SuspicionOf(kRequest, kStart + 10s) == Suspicion::kQuarantined));
@@ -104,25 +104,25 @@
 
 BOOST_AUTO_TEST_CASE(disabled_detector_suspects_no_request) {
   PoisonOptions rule;
-  rule.most_ends = 0;
+  rule.max_crashes = 0;
   PoisonDetector detector(rule);
   for (BackendHash backend = 1; backend < 9; ++backend) {
-    BOOST_TEST(!detector.TakeEnd(kRequest, backend, kStart));
+    BOOST_TEST(!detector.RecordCrash(kRequest, backend, kStart));
   }
   BOOST_TEST((detector.SuspicionOf(kRequest, kStart) == Suspicion::kNone));
 }
 
 BOOST_AUTO_TEST_CASE(interruption_and_crash_are_matched_in_either_order_within_seconds) {
-  InterruptedAttempts broken;
-  BOOST_TEST(!broken.Note(1, kRequest, kStart));
-  BOOST_TEST(!broken.Note(2, RequestFingerprint(8), kStart));
-  const auto present = broken.End(1, kStart + 4s);
+  InterruptedAttempts interrupted;
+  BOOST_TEST(!interrupted.Record(1, kRequest, kStart));
+  BOOST_TEST(!interrupted.Record(2, RequestFingerprint(8), kStart));
+  const auto present = interrupted.RecordCrash(1, kStart + 4s);
   BOOST_REQUIRE(present.size() == 1U);
   BOOST_TEST(present.front() == kRequest);
-  BOOST_TEST(broken.End(1, kStart + 4s).empty());
-  BOOST_TEST(broken.Note(1, RequestFingerprint(9), kStart + 5s));
-  BOOST_TEST(broken.End(2, kStart + 5s).empty());
-  BOOST_TEST(!broken.Note(1, RequestFingerprint(9), kStart + 10s));
+  BOOST_TEST(interrupted.RecordCrash(1, kStart + 4s).empty());
+  BOOST_TEST(interrupted.Record(1, RequestFingerprint(9), kStart + 5s));
+  BOOST_TEST(interrupted.RecordCrash(2, kStart + 5s).empty());
+  BOOST_TEST(!interrupted.Record(1, RequestFingerprint(9), kStart + 10s));
 }
 
 // Simulated innocent requests with retries, and fleets whose servers crash for various reasons.
@@ -201,7 +201,7 @@
 
 BOOST_AUTO_TEST_CASE(without_detection_poison_crashes_many_servers) {
   SimulationConfig config{.servers = 9, .pattern = CrashPattern::kNone, .poison_requests = 1};
-  config.rule.most_ends = 0;
+  config.rule.max_crashes = 0;
   BOOST_TEST(RunSimulation(config).max_crashes_by_one > 20U);
 }
 
--- a/libs/gateway/test/poison_guard-test.cc
+++ b/libs/gateway/test/poison_guard-test.cc
@@ -43,19 +43,19 @@
     guard.RecordInterruption(BackendNamed(name), kRequest, kStart);
   }
   BOOST_TEST((CurrentSuspicion() == Suspicion::kNone));
-  BOOST_TEST(guard.TakeNews().empty());
+  BOOST_TEST(guard.TakeUpdate().empty());
 }
 
 BOOST_AUTO_TEST_CASE(crash_reports_lead_to_the_same_verdict_at_peers) {
   Crash({"a", "b", "c"});
   BOOST_TEST((CurrentSuspicion() == Suspicion::kQuarantined));
-  const PoisonUpdate update = guard.TakeNews();
-  BOOST_TEST(update.ends.size() == 3U);
+  const PoisonUpdate update = guard.TakeUpdate();
+  BOOST_TEST(update.crashes.size() == 3U);
   BOOST_TEST(update.quarantined.size() == 1U);
   PoisonGuard other(metrics, PoisonOptions{});
   PoisonUpdate crashes_only;
-  crashes_only.ends = update.ends;
-  other.Take(crashes_only, kStart);
+  crashes_only.crashes = update.crashes;
+  other.ApplyUpdate(crashes_only, kStart);
   BOOST_TEST((other.SuspicionOf(kRequest, kStart) == Suspicion::kQuarantined));
   BOOST_TEST(!other.DecidedLocally(kRequest));
   BOOST_TEST(guard.DecidedLocally(kRequest));
@@ -67,7 +67,7 @@
   const Backend third = BackendNamed("c");
   other.RecordInterruption(third, kRequest, kStart);
   other.RecordCrash(third, "refused", kStart);
-  guard.Take(other.TakeNews(), kStart);
+  guard.ApplyUpdate(other.TakeUpdate(), kStart);
   BOOST_TEST((CurrentSuspicion() == Suspicion::kQuarantined));
 }
 
@@ -88,27 +88,27 @@
   guard.RecordCompletion(kRequest, kStart - 1s);
   Crash({"a", "b", "c"});
   BOOST_TEST((CurrentSuspicion() == Suspicion::kSuspect));
-  BOOST_TEST(!guard.TakeNews().survived.empty());
+  BOOST_TEST(!guard.TakeUpdate().cleared.empty());
 }
 
 BOOST_AUTO_TEST_CASE(gateway_that_saw_a_success_corrects_its_peers) {
   PoisonGuard other(metrics, PoisonOptions{});
   other.RecordCompletion(kRequest, kStart - 1s);
   Crash({"a", "b", "c"});
-  other.Take(guard.TakeNews(), kStart);
+  other.ApplyUpdate(guard.TakeUpdate(), kStart);
   BOOST_TEST((other.SuspicionOf(kRequest, kStart) != Suspicion::kQuarantined));
-  guard.Take(other.TakeNews(), kStart);
+  guard.ApplyUpdate(other.TakeUpdate(), kStart);
   BOOST_TEST((CurrentSuspicion() == Suspicion::kNone));
 }
 
 BOOST_AUTO_TEST_CASE(manual_release_applies_everywhere_and_is_deleted_from_the_store) {
   PoisonGuard other(metrics, PoisonOptions{});
   Crash({"a", "b", "c"});
-  other.Take(guard.TakeNews(), kStart);
+  other.ApplyUpdate(guard.TakeUpdate(), kStart);
   BOOST_TEST(guard.Release(kRequest, kStart));
   BOOST_TEST((CurrentSuspicion() == Suspicion::kNone));
   BOOST_TEST(guard.TakeReleased().size() == 1U);
-  other.Take(guard.TakeNews(), kStart);
+  other.ApplyUpdate(guard.TakeUpdate(), kStart);
   BOOST_TEST((other.SuspicionOf(kRequest, kStart) == Suspicion::kNone));
 }
 
@@ -119,8 +119,8 @@
   Crash({"a", "b", "c"});
   BOOST_REQUIRE(guard.DecidedLocally(kRequest));
   PoisonUpdate correction;
-  correction.survived.push_back(kRequest);
-  guard.Take(correction, kStart);
+  correction.cleared.push_back(kRequest);
+  guard.ApplyUpdate(correction, kStart);
   BOOST_TEST((CurrentSuspicion() == Suspicion::kNone));
   const std::vector<RequestFingerprint> released = guard.TakeReleased();
   BOOST_TEST(released.size() == 1U);
@@ -128,7 +128,7 @@
 
 BOOST_AUTO_TEST_CASE(stored_verdict_on_a_recently_successful_request_is_deleted) {
   guard.RecordCompletion(kRequest, kStart);
-  guard.TakeStored(kRequest, 5min, kStart + 1s);
+  guard.ApplyStored(kRequest, 5min, kStart + 1s);
   BOOST_TEST((CurrentSuspicion(kStart + 1s) == Suspicion::kNone));
   BOOST_TEST(guard.TakeReleased().size() == 1U);
 }
@@ -136,20 +136,20 @@
 BOOST_AUTO_TEST_CASE(gateway_that_missed_a_verdict_receives_it_after_its_next_crash_report) {
   PoisonGuard late(metrics, PoisonOptions{});
   Crash({"a", "b", "c"});
-  guard.TakeNews();
+  guard.TakeUpdate();
   const Backend fourth = BackendNamed("d");
   late.RecordInterruption(fourth, kRequest, kStart);
   late.RecordCrash(fourth, "refused", kStart);
-  guard.Take(late.TakeNews(), kStart);
-  late.Take(guard.TakeNews(), kStart);
+  guard.ApplyUpdate(late.TakeUpdate(), kStart);
+  late.ApplyUpdate(guard.TakeUpdate(), kStart);
   BOOST_TEST((late.SuspicionOf(kRequest, kStart) == Suspicion::kQuarantined));
 }
 
 BOOST_AUTO_TEST_CASE(stored_quarantine_is_applied_and_not_written_again) {
-  guard.TakeStored(kRequest, 1min, kStart);
+  guard.ApplyStored(kRequest, 1min, kStart);
   BOOST_TEST((CurrentSuspicion() == Suspicion::kQuarantined));
-  BOOST_TEST(guard.Decided(kStart).empty());
-  guard.TakeStored(RequestFingerprint(8), -1s, kStart);
+  BOOST_TEST(guard.UnstoredQuarantines(kStart).empty());
+  guard.ApplyStored(RequestFingerprint(8), -1s, kStart);
   BOOST_TEST((guard.SuspicionOf(RequestFingerprint(8), kStart) == Suspicion::kNone));
 }
 
--- a/libs/gateway/test/poison_simulation.cc
+++ b/libs/gateway/test/poison_simulation.cc
@@ -224,9 +224,9 @@
     if (!gossiping_.insert(from).second) return;
     After(1ms, [this, from] {
       gossiping_.erase(from);
-      After(kGossipDelay - 1ms, [this, from, news = guards_[from]->TakeNews()] {
+      After(kGossipDelay - 1ms, [this, from, update = guards_[from]->TakeUpdate()] {
         for (std::size_t i = 0; i < guards_.size(); ++i) {
-          if (i != from) guards_[i]->Take(news, now_);
+          if (i != from) guards_[i]->ApplyUpdate(update, now_);
         }
       });
     });
--- a/libs/gateway/test/sliding_retry_budget-test.cc
+++ b/libs/gateway/test/sliding_retry_budget-test.cc
@@ -63,10 +63,10 @@
       const TimePoint now = kStart + step * 100ms;
       double retries = 0;
       for (int request = 0; request < rate; ++request) {
-        all[static_cast<std::size_t>(request % gateways)].Earn(kService, now);
+        all[static_cast<std::size_t>(request % gateways)].RecordRequest(kService, now);
       }
       for (SlidingRetryBudget& budget : all) {
-        while (budget.Spend(kService, now)) ++retries;
+        while (budget.TryConsume(kService, now)) ++retries;
       }
       totals.requests.push_back(rate);
       totals.retries.push_back(retries);
@@ -80,28 +80,28 @@
 BOOST_AUTO_TEST_CASE(burst_may_use_budget_earned_in_the_last_window) {
   SlidingRetryBudget budget({0.2, 56, 10s});
   budget.SetGateways(8, kStart);
-  for (int i = 0; i < 100; ++i) budget.Earn(kService, kStart + i * 90ms);
+  for (int i = 0; i < 100; ++i) budget.RecordRequest(kService, kStart + i * 90ms);
   int allowed = 0;
-  while (budget.Spend(kService, kStart + 9s)) ++allowed;
+  while (budget.TryConsume(kService, kStart + 9s)) ++allowed;
   BOOST_TEST(allowed == 21);
 }
 
 BOOST_AUTO_TEST_CASE(retries_before_the_window_do_not_count) {
   SlidingRetryBudget budget({0.2, 10, 10s});
-  while (budget.Spend(kService, kStart)) {
+  while (budget.TryConsume(kService, kStart)) {
   }
-  BOOST_TEST(!budget.Spend(kService, kStart + 9s));
-  BOOST_TEST(budget.Spend(kService, kStart + 11s));
+  BOOST_TEST(!budget.TryConsume(kService, kStart + 9s));
+  BOOST_TEST(budget.TryConsume(kService, kStart + 11s));
 }
 
 BOOST_AUTO_TEST_CASE(limit_holds_in_windows_that_start_at_any_time) {
   SlidingRetryBudget budget({0.2, 10, 10s});
-  while (budget.Spend(kService, kStart + 490ms)) {
+  while (budget.TryConsume(kService, kStart + 490ms)) {
   }
-  BOOST_TEST(!budget.Spend(kService, kStart + 10s));
+  BOOST_TEST(!budget.TryConsume(kService, kStart + 10s));
   // Retries granted at 490 ms may have arrived 700 ms later.
-  BOOST_TEST(!budget.Spend(kService, kStart + 490ms + 10'700ms));
-  BOOST_TEST(budget.Spend(kService, kStart + 490ms + 10'701ms));
+  BOOST_TEST(!budget.TryConsume(kService, kStart + 490ms + 10'700ms));
+  BOOST_TEST(budget.TryConsume(kService, kStart + 490ms + 10'701ms));
 }
 
 RC_BOOST_PROP(arrivals_stay_within_the_limit_in_every_window_despite_connect_delay, ()) {
@@ -111,7 +111,7 @@
   for (const int gap : *rc::gen::container<std::vector<int>>(60, rc::gen::inRange(0, 3'000))) {
     now += std::chrono::milliseconds(gap);
     const std::chrono::milliseconds connect_delay(*rc::gen::inRange(0, 701));
-    if (budget.Spend(kService, now)) arrivals.push_back(now + connect_delay);
+    if (budget.TryConsume(kService, now)) arrivals.push_back(now + connect_delay);
   }
   for (const TimePoint from : arrivals) {
     const auto in_window = std::ranges::count_if(
@@ -122,9 +122,9 @@
 
 BOOST_AUTO_TEST_CASE(requests_earn_budget_for_one_window) {
   SlidingRetryBudget budget({0.2, 10, 10s});
-  for (int i = 0; i < 100; ++i) budget.Earn(kService, kStart);
+  for (int i = 0; i < 100; ++i) budget.RecordRequest(kService, kStart);
   int allowed = 0;
-  while (budget.Spend(kService, kStart + 10'001ms)) ++allowed;
+  while (budget.TryConsume(kService, kStart + 10'001ms)) ++allowed;
   BOOST_TEST(allowed == 8);
 }
 
@@ -133,7 +133,7 @@
   const auto allowed = [&](TimePoint now) {
     SlidingRetryBudget copy = budget;
     int count = 0;
-    while (copy.Spend(kService, now)) ++count;
+    while (copy.TryConsume(kService, now)) ++count;
     return count;
   };
   budget.SetGateways(8, kStart);
@@ -154,9 +154,9 @@
 
 BOOST_AUTO_TEST_CASE(services_do_not_share_a_budget) {
   SlidingRetryBudget budget({0.2, 5, 10s});
-  while (budget.Spend(ServiceId("a"), kStart)) {
+  while (budget.TryConsume(ServiceId("a"), kStart)) {
   }
-  BOOST_TEST(budget.Spend(ServiceId("b"), kStart));
+  BOOST_TEST(budget.TryConsume(ServiceId("b"), kStart));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/peers/src/news_codec.cc
+++ b/libs/peers/src/news_codec.cc
@@ -167,9 +167,9 @@
   PoisonUpdate news;
   const int ends = std::min(message.ended_backends_size(), message.present_size());
   for (int i = 0; i < ends; ++i) {
-    news.ends.push_back({message.ended_backends(i), RequestFingerprint(message.present(i))});
+    news.crashes.push_back({message.ended_backends(i), RequestFingerprint(message.present(i))});
   }
-  for (const std::uint64_t request : message.survived()) news.survived.emplace_back(request);
+  for (const std::uint64_t request : message.survived()) news.cleared.emplace_back(request);
   for (const std::uint64_t request : message.quarantined()) news.quarantined.emplace_back(request);
   return news;
 }
@@ -179,7 +179,7 @@
   for (const wire::BackendWord& word : message.words()) {
     PushbackUpdate item{word.backend(), word.number(), std::nullopt, word.leaving(), std::nullopt};
     if (word.limited()) item.limit = RequestRate::FromThousandths(word.limit());
-    if (word.rest_left_ms() > 0) item.rest_left = std::chrono::milliseconds(word.rest_left_ms());
+    if (word.rest_left_ms() > 0) item.backoff_left = std::chrono::milliseconds(word.rest_left_ms());
     news.items.push_back(item);
   }
   return news;
@@ -243,11 +243,11 @@
   wire::GatewayNews message;
   message.set_daemon(sender.value());
   wire::PoisonNews& body = *message.mutable_poison();
-  for (const CrashReport& end : news.ends) {
+  for (const CrashReport& end : news.crashes) {
     body.add_ended_backends(end.backend);
     body.add_present(end.request.value());
   }
-  for (const RequestFingerprint request : news.survived) body.add_survived(request.value());
+  for (const RequestFingerprint request : news.cleared) body.add_survived(request.value());
   for (const RequestFingerprint request : news.quarantined) body.add_quarantined(request.value());
   return message.SerializeAsString();
 }
@@ -262,7 +262,8 @@
     word.set_leaving(item.leaving);
     word.set_limited(item.limit.has_value());
     if (item.limit) word.set_limit(item.limit->thousandths());
-    if (item.rest_left) word.set_rest_left_ms(static_cast<std::uint32_t>(item.rest_left->count()));
+    if (item.backoff_left)
+      word.set_rest_left_ms(static_cast<std::uint32_t>(item.backoff_left->count()));
   }
   return message.SerializeAsString();
 }
--- a/libs/peers/src/peer_link.cc
+++ b/libs/peers/src/peer_link.cc
@@ -50,14 +50,14 @@
 net::awaitable<void> PeerLink::Send() {
   state_.SetPlacementListener([this] { timer_.cancel(); });
   state_.SetLoadListener([this] {
-    if (state_.asks_first() && !std::exchange(tracker_update_pending_, true)) timer_.cancel();
+    if (state_.queries_peers() && !std::exchange(tracker_update_pending_, true)) timer_.cancel();
   });
   while (!stopped_) {
     ApplyMembership();
     const TimePoint now = Clock::now();
     DetectSuspension(now);
     loads_.Expire(now);
-    if (now >= NextSend()) state_.asks_first() ? SendToTrackers(now) : Broadcast(now);
+    if (now >= NextSend()) state_.queries_peers() ? SendToTrackers(now) : Broadcast(now);
     co_await WaitUntil(timer_, NextSend());
   }
   state_.SetPlacementListener({});
@@ -66,13 +66,14 @@
 
 net::awaitable<void> PeerLink::SendGossip() {
   state_.poison().SetUpdateListener([this] { gossip_timer_.cancel(); });
-  state_.words().SetUpdateListener([this] { gossip_timer_.cancel(); });
+  state_.pushback().SetUpdateListener([this] { gossip_timer_.cancel(); });
   while (!stopped_) {
     const TimePoint now = Clock::now();
-    poison_gossip_.Add(state_.poison().TakeNews(), now);
-    backend_gossip_.Add(state_.words().TakeNews(), now);
+    poison_gossip_.Add(state_.poison().TakeUpdate(), now);
+    backend_gossip_.Add(state_.pushback().TakeUpdates(), now);
     const PoisonUpdate poison = poison_gossip_.TakeDue(now);
-    const PushbackUpdateList words = state_.words().Refreshed(backend_gossip_.TakeDue(now), now);
+    const PushbackUpdateList words =
+        state_.pushback().WithCurrentState(backend_gossip_.TakeDue(now), now);
     ApplyMembership();
     if (!poison.empty()) SendToAll(Encode(options_.self, poison));
     if (!words.empty()) SendToAll(Encode(options_.self, words));
@@ -81,7 +82,7 @@
                        std::min(poison_gossip_.NextDue(next), backend_gossip_.NextDue(next)));
   }
   state_.poison().SetUpdateListener({});
-  state_.words().SetUpdateListener({});
+  state_.pushback().SetUpdateListener({});
 }
 
 void PeerLink::SendToAll(const std::string& datagram) {
@@ -92,10 +93,10 @@
                                     TimePoint now) {
   // A cool-down is sent as its remaining time, which is wrong in a delayed message.
   if (now < stale_until_) {
-    for (PushbackUpdate& item : news.items) item.rest_left.reset();
+    for (PushbackUpdate& item : news.items) item.backoff_left.reset();
   }
   const std::uint64_t gateway = std::hash<std::string>{}(sender.to_string());
-  PushbackUpdateList newer = state_.words().Take(news, gateway, now);
+  PushbackUpdateList newer = state_.pushback().ApplyUpdates(news, gateway, now);
   std::erase_if(newer.items,
                 [&](const PushbackUpdate& item) { return !Tracks(item.backend, now); });
   if (!newer.empty()) SendTo(sender, Encode(options_.self, newer));
@@ -122,7 +123,7 @@
   for (const Member& member : members_.Members()) add(member.address);
   if (members_.Members().empty()) std::ranges::for_each(seeds_, add);
   const bool use_trackers = members_.Members().size() > options_.max_broadcast_gateways;
-  if (use_trackers == state_.asks_first()) return;
+  if (use_trackers == state_.queries_peers()) return;
   Log(LogLevel::kInfo,
       use_trackers ? "updating and querying trackers only" : "broadcasting updates to all gateways",
       {{"gateways", std::to_string(members_.Members().size())},
@@ -134,12 +135,12 @@
 }
 
 TimePoint PeerLink::NextSend() const {
-  if (state_.asks_first()) {
+  if (state_.queries_peers()) {
     return last_check_ + (tracker_update_pending_ ? Duration(options_.tracker_update_interval)
                                                   : TrackedNews::kRepeatInterval / 2);
   }
   const auto count = static_cast<int>(peers_.size());
-  if (!state_.news().placed.empty()) {
+  if (!state_.pending_updates().placed.empty()) {
     return last_check_ + options_.placement_interval + count * options_.placement_interval_per_peer;
   }
   return last_check_ + options_.period + count * options_.period_per_peer;
@@ -159,7 +160,7 @@
 void PeerLink::SendToTrackers(TimePoint now) {
   last_check_ = now;
   tracker_update_pending_ = false;
-  const GossipItems items = state_.TakeNews(kMaxPlacedPerMessage);
+  const GossipItems items = state_.TakePendingUpdates(kMaxPlacedPerMessage);
   for (NewsForTracker& to : tracked_news_.Collect(OwnLoads(), items, trackers_, now)) {
     GossipMessage news = MakeHeader();
     news.loads = std::move(to.loads);
@@ -167,7 +168,7 @@
     SendTo(to.tracker.ip, EncodeNews(news));
   }
   // Items that did not fit into one message go out next.
-  tracker_update_pending_ = tracker_update_pending_ || !state_.news().placed.empty();
+  tracker_update_pending_ = tracker_update_pending_ || !state_.pending_updates().placed.empty();
 }
 
 std::vector<LoadUpdate> PeerLink::OwnLoads() const {
@@ -190,7 +191,7 @@
 GossipMessage PeerLink::MakeNews() {
   GossipMessage news = MakeHeader();
   news.loads = OwnLoads();
-  news.items = state_.TakeNews(kMaxPlacedPerMessage);
+  news.items = state_.TakePendingUpdates(kMaxPlacedPerMessage);
   const TimePoint now = Clock::now();
   if (now - last_namings_ >= options_.heartbeat) {
     last_namings_ = now;
@@ -248,7 +249,7 @@
   }
   // Valid at any age.
   if (const auto* poison = std::get_if<PoisonUpdate>(&message)) {
-    return state_.poison().Take(*poison, now);
+    return state_.poison().ApplyUpdate(*poison, now);
   }
   // Stale messages are detected by their version number, except for cool-downs.
   if (const auto* words = std::get_if<PushbackUpdateList>(&message)) {
--- a/libs/peers/src/poison_gossip.cc
+++ b/libs/peers/src/poison_gossip.cc
@@ -3,8 +3,8 @@
 namespace ridgehold {
 
 void AppendNews(PoisonUpdate& to, const PoisonUpdate& news, std::size_t max_items) {
-  AppendItems(to.ends, news.ends, max_items);
-  AppendItems(to.survived, news.survived, max_items);
+  AppendItems(to.crashes, news.crashes, max_items);
+  AppendItems(to.cleared, news.cleared, max_items);
   AppendItems(to.quarantined, news.quarantined, max_items);
 }
 
--- a/libs/peers/test/poison_gossip-test.cc
+++ b/libs/peers/test/poison_gossip-test.cc
@@ -12,7 +12,7 @@
 
 PoisonUpdate OneEnd() {
   PoisonUpdate news;
-  news.ends.push_back({3, RequestFingerprint(7)});
+  news.crashes.push_back({3, RequestFingerprint(7)});
   return news;
 }
 
@@ -35,28 +35,28 @@
   PoisonGossip gossip;
   for (int i = 0; i < 5; ++i) gossip.Add(OneEnd(), kStart);
   BOOST_TEST((gossip.NextDue(kStart) <= kStart + 1ms));
-  BOOST_TEST(gossip.TakeDue(kStart + 1ms).ends.size() == 5U);
+  BOOST_TEST(gossip.TakeDue(kStart + 1ms).crashes.size() == 5U);
 }
 
 BOOST_AUTO_TEST_CASE(flood_is_bounded_in_datagram_size_and_memory) {
   PoisonGossip gossip;
   for (int i = 0; i < 50'000; ++i) gossip.Add(OneEnd(), kStart);
   const PoisonUpdate due = gossip.TakeDue(kStart + 1ms);
-  BOOST_TEST(due.ends.size() <= PoisonGossip::kMaxItemsPerMessage);
+  BOOST_TEST(due.crashes.size() <= PoisonGossip::kMaxItemsPerMessage);
   BOOST_TEST(Encode(DaemonId("d"), due).size() < 60'000U);
 }
 
 BOOST_AUTO_TEST_CASE(poison_news_round_trips) {
   PoisonUpdate news = OneEnd();
-  news.survived.emplace_back(8);
+  news.cleared.emplace_back(8);
   news.quarantined.emplace_back(9);
   const std::string bytes = Encode(DaemonId("d"), news);
   const bool same = ValueOr(
       [&]() -> Result<bool> {
         BOOST_LEAF_AUTO(message, DecodePeerMessage(bytes));
         const auto* decoded = std::get_if<PoisonUpdate>(&message);
-        return decoded != nullptr && decoded->ends == news.ends &&
-               decoded->survived == news.survived && decoded->quarantined == news.quarantined;
+        return decoded != nullptr && decoded->crashes == news.crashes &&
+               decoded->cleared == news.cleared && decoded->quarantined == news.quarantined;
       },
       [](const Failure& /*failure*/) { return false; });
   BOOST_TEST(same);
--- a/model/fleet_model.cc
+++ b/model/fleet_model.cc
@@ -84,8 +84,8 @@
     Backend& backend = *state_.directory().Find(entry.id);
     const BackendPushback notice{RequestRate::FromPerSecond(pattern_.limit), false, false,
                                  std::nullopt};
-    state_.words().Note(backend, notice, start_, start_);
-    granted_.emplace(entry.id, TokenBucket(state_.words().TermsFor(backend), start_));
+    state_.pushback().ApplyPushback(backend, notice, start_, start_);
+    granted_.emplace(entry.id, TokenBucket(state_.pushback().TermsFor(backend), start_));
   }
 }
 
@@ -195,7 +195,7 @@
     if (std::exchange(open.plan.avoid_rate_limited, false) && !choice) {
       choice = ChooseFor(state_, open.plan, open.request, {}, now_);
     }
-    if (choice) open.late = !Admission::InTime(AdmissionQueryFor(open.plan, *choice, now_));
+    if (choice) open.late = !Admission::MeetsObjective(AdmissionQueryFor(open.plan, *choice, now_));
     if (!may_send()) return std::nullopt;
     if (GetPermit(choice->backend)) return choice;
   }
@@ -238,8 +238,8 @@
       if (begun.at - open.request.received <= demand.objective) ++outcome.in_time;
       --open.backend->in_flight;
       open.backend->unprefilled_tokens -= open.tokens_to_prefill;
-      state_.reading_speed(kEngines).Record(open.queued_tokens + open.tokens_to_prefill,
-                                            waited + PrefillRateEstimator::kFixedOverhead);
+      state_.prefill_rate_estimator(kEngines).Record(open.queued_tokens + open.tokens_to_prefill,
+                                                     waited + PrefillRateEstimator::kFixedOverhead);
       open_.erase(begun.number);
     }
   }
--- a/model/limit_ways.cc
+++ b/model/limit_ways.cc
@@ -159,7 +159,7 @@
   void Arrive(std::size_t i) {
     Instance& instance = *instances_[i];
     const PushbackState& word = instance.backend.notice_state;
-    if (Cut(ZoneOf(i), 0) || word.Bars(now())) return;
+    if (Cut(ZoneOf(i), 0) || word.BlocksRequests(now())) return;
     if (!word.limit()) return Send(i);
     const bool known = counting_.has_value();
     instance.client->SetHolders(known ? NameOfInstance(*counting_) : "", {});
@@ -219,7 +219,7 @@
     Instance& instance = *instances_[i];
     if (notice.limit && !instance.told) instance.told = now();
     if (notice.limit && !first_named_) first_named_ = now();
-    if (!instance.backend.notice_state.TakeNotice(notice, sent, now())) return;
+    if (!instance.backend.notice_state.ApplyPushback(notice, sent, now())) return;
     NoteKnown(i);
     const int life = instance.restarts;
     for (const milliseconds telling : kTellings) {
@@ -230,7 +230,7 @@
   }
 
   void Tell(std::size_t i) {
-    const PushbackUpdate news = instances_[i]->backend.notice_state.News(kBackendHash);
+    const PushbackUpdate news = instances_[i]->backend.notice_state.ToUpdate(kBackendHash);
     for (std::size_t to = 0; to < instances_.size(); ++to) {
       if (to != i) TellOne(i, to, news);
     }
@@ -239,8 +239,8 @@
   void TellOne(std::size_t from, std::size_t to, const PushbackUpdate& news) {
     Carry(from, to, [this, from, to, news] {
       Instance& instance = *instances_[to];
-      const PushbackUpdate better = instance.backend.notice_state.News(kBackendHash);
-      const bool behind = instance.backend.notice_state.TakeNews(news, now());
+      const PushbackUpdate better = instance.backend.notice_state.ToUpdate(kBackendHash);
+      const bool behind = instance.backend.notice_state.ApplyUpdate(news, now());
       NoteKnown(to);
       // As those do that track the backend server.
       if (behind && to < 2 * kZoneCount) TellOne(to, from, better);
--- a/model/rest_ways.cc
+++ b/model/rest_ways.cc
@@ -115,7 +115,7 @@
     const auto first = static_cast<std::size_t>(time_.Random() * 1e9) % servers_.size();
     for (std::size_t k = 0; k < servers_.size(); ++k) {
       const std::size_t s = (first + k) % servers_.size();
-      if (instance.words[s].Bars(now()) || now() < instance.barred_until[s]) continue;
+      if (instance.words[s].BlocksRequests(now()) || now() < instance.barred_until[s]) continue;
       const bool doubted = now() < instance.words[s].deprioritized_until();
       const int load = servers_[s].pictured + (doubted ? kDoubt : 0);
       if (best && load >= least) continue;
@@ -167,8 +167,8 @@
 
   void TakeRefusal(std::size_t s, const Request& request) {
     BackendPushback notice;
-    notice.rest = kRest;
-    instances_[request.instance].words[s].TakeNotice(notice, now(), now());
+    notice.backoff = kRest;
+    instances_[request.instance].words[s].ApplyPushback(notice, now(), now());
     Tell(s, request.instance);
     Send(request);
   }
@@ -178,7 +178,7 @@
     const bool tells = play_.way == RestWay::kToldBar ||
                        (play_.way == RestWay::kToldTwice && word.ShouldShareBackoff(now()));
     if (!tells) return;
-    const TimePoint until = word.rest_until();
+    const TimePoint until = word.backoff_until();
     for (std::size_t i = 0; i < instances_.size(); ++i) {
       if (i == from) continue;
       ++outcome_.messages;
--- a/test/backend_prober-test.cc
+++ b/test/backend_prober-test.cc
@@ -80,7 +80,7 @@
   acceptor->close();
   BackendDirectory::RecordFailure(backend(), Clock::now());
   BOOST_TEST(Within(2s, [&] { return !backend().reachable; }));
-  BOOST_TEST(state.news().unreachable.size() == 1U);
+  BOOST_TEST(state.pending_updates().unreachable.size() == 1U);
   io.run_for(100ms);
   BOOST_TEST(!backend().reachable);
   Listen();
@@ -110,7 +110,7 @@
   BOOST_TEST(backend().reachable);
   BOOST_TEST(Within(2s, [&] { return !backend().needs_probe; }));
   BOOST_TEST(backend().reachable);
-  BOOST_TEST(state.news().unreachable.empty());
+  BOOST_TEST(state.pending_updates().unreachable.empty());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/peer_link-test.cc
+++ b/test/peer_link-test.cc
@@ -126,7 +126,7 @@
 };
 
 BOOST_FIXTURE_TEST_CASE(tracker_is_told_and_answers_for_all_but_the_asking_one, TrackedFixture) {
-  BOOST_REQUIRE(other->state.asks_first());
+  BOOST_REQUIRE(other->state.queries_peers());
   other->Place(7);
   tracker->Place(8);
   tracker->state.NotifyLoadChanged();
